--- a/gateway/door.go
+++ b/gateway/listener.go
@@ -22,7 +22,7 @@
 	lastLook = 50 * time.Millisecond
 )
 
-// Door lets callers in over HTTP. Unlike http.Server's own Shutdown, which drops a
+// Listener lets callers in over HTTP. Unlike http.Server's own Shutdown, which drops a
 // request that was read on a connection accepted just before and closes connections that
 // rest whatever has come on them, its planned stop lets in no more connections and then
 // serves what those that are open still bring. Its handler must end each connection with
@@ -31,7 +31,7 @@
 //	door := gateway.NewDoor(&http.Server{Handler: g})
 //	go door.Serve(listener)
 //	err := door.Stop(ctx)
-type Door struct {
+type Listener struct {
 	server *http.Server
 	shut   chan struct{} // closed by Stop
 	served chan struct{} // closed once every accepted connection is known
@@ -42,9 +42,9 @@
 	once  sync.Once     // guards the closing of empty
 }
 
-// NewDoor returns a door for the server, whose ConnState it takes.
-func NewDoor(s *http.Server) *Door {
-	d := &Door{
+// NewListener returns a door for the server, whose ConnState it takes.
+func NewListener(s *http.Server) *Listener {
+	d := &Listener{
 		server: s, shut: make(chan struct{}), served: make(chan struct{}),
 		open: map[*doorConn]http.ConnState{}, empty: make(chan struct{}),
 	}
@@ -53,7 +53,7 @@
 }
 
 // Serve accepts connections until Stop, for which it returns nil. It is called once.
-func (d *Door) Serve(l net.Listener) error {
+func (d *Listener) Serve(l net.Listener) error {
 	defer close(d.served)
 	go func() {
 		select {
@@ -73,7 +73,7 @@
 
 // Stop lets in no more connections and returns once all are over. When ctx ends first
 // it closes those that are left and returns an error. It is called once.
-func (d *Door) Stop(ctx context.Context) error {
+func (d *Listener) Stop(ctx context.Context) error {
 	close(d.shut)
 	<-d.served
 	d.lookAgain(http.StateIdle)
@@ -89,7 +89,7 @@
 }
 
 // note receives each connection's states.
-func (d *Door) note(n net.Conn, s http.ConnState) {
+func (d *Listener) note(n net.Conn, s http.ConnState) {
 	c, ok := n.(*doorConn)
 	if !ok {
 		return // it came by another listener
@@ -116,7 +116,7 @@
 }
 
 // check notifies Stop if nothing is open.
-func (d *Door) check() {
+func (d *Listener) check() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.open) == 0 {
@@ -125,7 +125,7 @@
 }
 
 // stopping reports whether Stop was called.
-func (d *Door) stopping() bool {
+func (d *Listener) stopping() bool {
 	select {
 	case <-d.shut:
 		return true
@@ -135,7 +135,7 @@
 }
 
 // lookAgain ends the waiting for a request on the connections in the state.
-func (d *Door) lookAgain(in http.ConnState) {
+func (d *Listener) lookAgain(in http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for c, s := range d.open {
@@ -148,7 +148,7 @@
 // doorListener gives connections that look again.
 type doorListener struct {
 	net.Listener
-	door *Door
+	door *Listener
 }
 
 // Accept implements net.Listener.
@@ -164,7 +164,7 @@
 // only after a last look at what has come.
 type doorConn struct {
 	net.Conn
-	door   *Door
+	door   *Listener
 	looked atomic.Bool // for the last time
 	heard  atomic.Bool // something has come since it rests
 }
@@ -194,12 +194,12 @@
 }
 
 // waits reports that no request has been read on the connection that is not answered.
-func (d *Door) waits(c *doorConn) bool {
+func (d *Listener) waits(c *doorConn) bool {
 	s := d.state(c)
 	return s == http.StateIdle || s == http.StateNew
 }
 
-func (d *Door) state(c *doorConn) http.ConnState {
+func (d *Listener) state(c *doorConn) http.ConnState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.open[c]
--- a/gateway/door_test.go
+++ b/gateway/listener_test.go
@@ -61,7 +61,7 @@
 }
 
 // doorRun is a door whose handler takes two seconds.
-func doorRun(t *testing.T, f func(p *pipes, d *gateway.Door)) {
+func doorRun(t *testing.T, f func(p *pipes, d *gateway.Listener)) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(2 * time.Second)
@@ -69,7 +69,7 @@
 			_, _ = io.WriteString(w, "whole")
 		})
 		p := newPipes()
-		d := gateway.NewDoor(&http.Server{Handler: slow, ReadHeaderTimeout: time.Minute})
+		d := gateway.NewListener(&http.Server{Handler: slow, ReadHeaderTimeout: time.Minute})
 		served := make(chan error, 1)
 		go func() { served <- d.Serve(p) }()
 		f(p, d)
@@ -89,7 +89,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			doorRun(t, func(p *pipes, d *gateway.Door) {
+			doorRun(t, func(p *pipes, d *gateway.Listener) {
 				c := p.dial()
 				answer := make(chan string, 1)
 				go func() {
@@ -119,7 +119,7 @@
 			_, _ = io.WriteString(w, "whole")
 		})
 		kept := true
-		d := gateway.NewDoor(&http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		d := gateway.NewListener(&http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if kept {
 				kept = false
 				_, _ = io.WriteString(w, "kept")
@@ -147,7 +147,7 @@
 }
 
 func TestStopWaitsForNobodySilent(t *testing.T) {
-	doorRun(t, func(p *pipes, d *gateway.Door) {
+	doorRun(t, func(p *pipes, d *gateway.Listener) {
 		silent, rests := p.dial(), p.dial()
 		if _, err := askOn(rests); err != nil {
 			t.Fatal(err)
@@ -168,7 +168,7 @@
 }
 
 func TestStopEndsAtTheLatestWhenTold(t *testing.T) {
-	doorRun(t, func(p *pipes, d *gateway.Door) {
+	doorRun(t, func(p *pipes, d *gateway.Listener) {
 		go func() { _, _ = askOn(p.dial()) }() // it is cut off
 		time.Sleep(time.Second)
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
--- a/node/entry.go
+++ b/node/entry.go
@@ -152,10 +152,10 @@
 }
 
 // listen opens what callers and the platform ask. The door takes callers.
-func (e *Entry) listen(failed chan<- error) (*gateway.Door, error) {
+func (e *Entry) listen(failed chan<- error) (*gateway.Listener, error) {
 	s := process.NewServers(e.network, failed)
 	limits := catalog.DefaultLimits()
-	door := gateway.NewDoor(&http.Server{
+	door := gateway.NewListener(&http.Server{
 		Handler: e.gateway, MaxHeaderBytes: limits.HeaderBytes,
 		ReadHeaderTimeout: limits.Header, IdleTimeout: limits.Idle,
 	})
--- a/node/leave.go
+++ b/node/leave.go
@@ -19,7 +19,7 @@
 // callers that still come until the platform has noticed. Then it takes no new
 // connection, closes those that rest, and ends once nothing is in flight, or at the
 // latest shortly before it would be killed.
-func (e *Entry) leave(callers *gateway.Door) error {
+func (e *Entry) leave(callers *gateway.Listener) error {
 	began := clock.Now()
 	end := began.Add(e.settings().Bounds.Stop.Std() - process.StopMargin)
 	e.ready.leaving.Store(true)
