--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -26,7 +26,7 @@
 // speech is a wire with plain names.
 type speech struct{}
 
-func (speech) Request(now time.Time, r *http.Request) (call.Request, error) {
+func (speech) ParseRequest(now time.Time, r *http.Request) (call.Request, error) {
 	f := call.Fields{ID: call.ID(r.Header.Get("Id")), Host: r.Host, Path: r.URL.Path, Key: r.Header.Get("Key"), After: r.Header.Get("After")}
 	if left, err := time.ParseDuration(r.Header.Get("Left")); err == nil {
 		f.Deadline = now.Add(left)
@@ -297,7 +297,7 @@
 	f := &fleet{targets: targets, began: make(chan struct{}, 1)}
 	q := &quarantine{}
 	g := gateway.New(gateway.Parts{
-		Common: telemetry.Quiet(), Speech: speech{}, Fleet: f, Quarantine: q,
+		Common: telemetry.Quiet(), Headers: speech{}, Fleet: f, Quarantine: q,
 		Pool:  transport.NewPool(transport.Dial(transport.Timing{Connect: time.Second, Unheard: time.Second}), transport.DefaultSettings()),
 		Purse: func(domain.ServiceName) retry.Purse { return purse{} },
 	})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,10 +17,10 @@
 	"clovertrail.dev/transport"
 )
 
-// Speech reads and writes the wire's headers.
-type Speech interface {
-	// Request reads a caller's request; the body is left alone.
-	Request(now time.Time, r *http.Request) (call.Request, error)
+// HeaderCodec reads and writes the wire's headers.
+type HeaderCodec interface {
+	// ParseRequest reads a caller's request; the body is left alone.
+	ParseRequest(now time.Time, r *http.Request) (call.Request, error)
 	// Attempt writes into the headers what the target is told.
 	Attempt(now time.Time, h http.Header, a call.Attempt)
 	// Answer reads the head of a target's answer, which came now.
@@ -116,7 +116,7 @@
 // Parts is what a Gateway is made of.
 type Parts struct {
 	Common     telemetry.Common
-	Speech     Speech
+	Headers     HeaderCodec
 	Fleet      Fleet
 	Pool       *transport.Pool
 	Quarantine Quarantine
--- a/gateway/intake.go
+++ b/gateway/intake.go
@@ -35,7 +35,7 @@
 // never nil, so that a refusal can be logged with what is known.
 func (g *Gateway) intake(now time.Time, w http.ResponseWriter, r *http.Request) (*order, error) {
 	o := &order{http: r, arrived: now}
-	req, err := g.parts.Speech.Request(now, r)
+	req, err := g.parts.Headers.ParseRequest(now, r)
 	if err != nil {
 		return o, err
 	}
