--- a/core/call/doc.go
+++ b/core/call/doc.go
@@ -4,6 +4,6 @@
 //
 // # Usage
 //
-//	req, err := speech.Request(httpRequest)
+//	req, err := speech.ParseRequest(httpRequest)
 //	left := req.Deadline().Sub(now)
 package call
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -146,7 +146,7 @@
 func (a *attempt) request(ctx context.Context) *http.Request {
 	o := a.d.o
 	h := passedOn(o.http.Header)
-	a.d.g.parts.Headers.Attempt(clock.Now(), h, a.d.told(a.lease.Target(), a.try.Resume))
+	a.d.g.parts.Headers.WriteAttempt(clock.Now(), h, a.d.told(a.lease.Target(), a.try.Resume))
 	if _, given := h["User-Agent"]; !given {
 		h["User-Agent"] = nil // net/http would add its own
 	}
@@ -163,7 +163,7 @@
 // mine distinguishes the answer to this request from a late one to another. An answer that
 // names no request is the one that is due.
 func (a *attempt) mine(r *http.Response) bool {
-	id := a.d.g.parts.Headers.Answer(clock.Now(), r).ID
+	id := a.d.g.parts.Headers.ParseResponse(clock.Now(), r).ID
 	return id == "" || id == a.d.o.ID()
 }
 
@@ -177,7 +177,7 @@
 // answered handles an answer whose head has come.
 func (a *attempt) answered(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
 	now := clock.Now()
-	a.answer = a.d.g.parts.Headers.Answer(now, resp)
+	a.answer = a.d.g.parts.Headers.ParseResponse(now, resp)
 	if a.answer.Outcome != call.Elsewhere && a.answer.Outcome != call.Foreign {
 		a.lease.Heard(now, a.answer) // the others come from somebody else
 	}
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -34,7 +34,7 @@
 	return call.NewRequest(f)
 }
 
-func (speech) Attempt(_ time.Time, h http.Header, a call.Attempt) {
+func (speech) WriteAttempt(_ time.Time, h http.Header, a call.Attempt) {
 	h.Del("Key")
 	h.Set("Instance", string(a.Instance))
 	h.Set("Organisation", string(a.Organisation))
@@ -43,7 +43,7 @@
 	}
 }
 
-func (speech) Answer(now time.Time, r *http.Response) call.Answer {
+func (speech) ParseResponse(now time.Time, r *http.Response) call.Answer {
 	a := call.Answer{
 		ID: call.ID(r.Header.Get("Id")), Status: r.StatusCode, Outcome: call.Served,
 		Leaving: r.Header.Get("Leaving") != "",
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,10 +21,10 @@
 type HeaderCodec interface {
 	// ParseRequest reads a caller's request; the body is left alone.
 	ParseRequest(now time.Time, r *http.Request) (call.Request, error)
-	// Attempt writes into the headers what the target is told.
-	Attempt(now time.Time, h http.Header, a call.Attempt)
-	// Answer reads the head of a target's answer, which came now.
-	Answer(now time.Time, r *http.Response) call.Answer
+	// WriteAttempt writes into the headers what the target is told.
+	WriteAttempt(now time.Time, h http.Header, a call.Attempt)
+	// ParseResponse reads the head of a target's answer, which came now.
+	ParseResponse(now time.Time, r *http.Response) call.Answer
 }
 
 // Query is what is known of a request that looks for a target.
@@ -116,7 +116,7 @@
 // Parts is what a Gateway is made of.
 type Parts struct {
 	Common     telemetry.Common
-	Headers     HeaderCodec
+	Headers    HeaderCodec
 	Fleet      Fleet
 	Pool       *transport.Pool
 	Quarantine Quarantine
