--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -43,7 +43,7 @@
 		defer a.impatience.Stop()
 	}
 	if aim := a.d.o.route.Aim(); aim > 0 {
-		a.overdue = clock.AfterFunc(clock.Now().Add(time.Duration(overdueAims*float64(aim))), a.lease.Overdue)
+		a.overdue = clock.AfterFunc(clock.Now().Add(time.Duration(overdueAims*float64(aim))), a.lease.ResponseOverdue)
 		defer a.overdue.Stop()
 	}
 	end, verdict := a.carry(ctx)
@@ -60,7 +60,7 @@
 	case ctx.Err() != nil && a.exchange != nil && a.exchange.Sent():
 		a.lookBack()
 	}
-	a.lease.End(verdict)
+	a.lease.Release(verdict)
 	return end
 }
 
@@ -116,7 +116,7 @@
 	a.exchange = x
 	defer x.Close()
 	// A connection may take a second to come up, and the target may have spoken meanwhile.
-	if !a.lease.Wanted(clock.Now()) {
+	if !a.lease.MaySend(clock.Now()) {
 		return retry.Unreached{Err: errUnwanted}, Neutral
 	}
 	x.Bind(ctx)
@@ -179,7 +179,7 @@
 	now := clock.Now()
 	a.answer = a.d.g.parts.Headers.ParseResponse(now, resp)
 	if a.answer.Outcome != call.Elsewhere && a.answer.Outcome != call.Foreign {
-		a.lease.Heard(now, a.answer) // the others come from somebody else
+		a.lease.UpdateStatus(now, a.answer) // the others come from somebody else
 	}
 	if id := a.answer.AtFault; id != "" && id != a.lease.Target().ID().Listed() {
 		a.d.g.parts.Fleet.Blame(id)
@@ -215,7 +215,7 @@
 	if a.overdue != nil {
 		a.overdue.Stop()
 	}
-	a.lease.Began()
+	a.lease.ResponseStarted()
 }
 
 // drain reads a short body so that the connection can be kept.
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -207,15 +207,15 @@
 }
 
 func (*lease) Witness() string { return "" }
-func (*lease) Overdue()        {}
+func (*lease) ResponseOverdue()        {}
 
-func (l *lease) Wanted(time.Time) bool {
+func (l *lease) MaySend(time.Time) bool {
 	l.f.mu.Lock()
 	defer l.f.mu.Unlock()
 	return !slices.Contains(l.f.unwanted, l.x.name)
 }
 
-func (l *lease) Heard(now time.Time, a call.Answer) {
+func (l *lease) UpdateStatus(now time.Time, a call.Answer) {
 	l.f.mu.Lock()
 	defer l.f.mu.Unlock()
 	if a.Leaving {
@@ -226,7 +226,7 @@
 	}
 }
 
-func (l *lease) Began() { signal(l.f.began) }
+func (l *lease) ResponseStarted() { signal(l.f.began) }
 
 // signal puts a value into the channel if there is room: else nobody waits for it.
 func signal(c chan struct{}) {
@@ -236,11 +236,11 @@
 	}
 }
 
-func (l *lease) Drags(time.Time, []domain.InstanceID) bool { return l.x.drags }
+func (l *lease) IsStraggler(time.Time, []domain.InstanceID) bool { return l.x.drags }
 
-func (*lease) Paused(time.Duration, time.Duration) {}
+func (*lease) ReportEventGap(time.Duration, time.Duration) {}
 
-func (l *lease) End(v gateway.Verdict) {
+func (l *lease) Release(v gateway.Verdict) {
 	names := map[gateway.Verdict]string{
 		gateway.Neutral: "neutral", gateway.Good: "good", gateway.Bad: "bad",
 		gateway.Full:        "full",
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -50,24 +50,24 @@
 	// Witness is the address of another process that is reached on the same way as the
 	// target; empty if there is none.
 	Witness() string
-	// Wanted reports whether the target may still be sent the attempt: it may have said meanwhile
+	// MaySend reports whether the target may still be sent the attempt: it may have said meanwhile
 	// that it is leaving, or asked for rest, or named a limit.
-	Wanted(now time.Time) bool
-	// Heard takes what the target reports about itself with an answer: its load, whether it is
+	MaySend(now time.Time) bool
+	// UpdateStatus takes what the target reports about itself with an answer: its load, whether it is
 	// leaving, for how long it wants nothing, and how much it takes.
-	Heard(now time.Time, a call.Answer)
-	// Overdue reports that the answer has not begun although one in time would have long ago.
-	Overdue()
-	// Began reports that the answer has begun.
-	Began()
-	// Paused reports the time between two events of the answer, and of the longest
+	UpdateStatus(now time.Time, a call.Answer)
+	// ResponseOverdue reports that the answer has not begun although one in time would have long ago.
+	ResponseOverdue()
+	// ResponseStarted reports that the answer has begun.
+	ResponseStarted()
+	// ReportEventGap reports the time between two events of the answer, and of the longest
 	// that is in time; 0 for none.
-	Paused(pause, aim time.Duration)
-	// Drags reports whether streams are to be moved from this target to others: it makes the
+	ReportEventGap(pause, aim time.Duration)
+	// IsStraggler reports whether streams are to be moved from this target to others: it makes the
 	// steps of its group too long for all of them.
-	Drags(now time.Time, tried []domain.InstanceID) bool
-	// End gives the place back, with how the attempt spoke for the target.
-	End(v Verdict)
+	IsStraggler(now time.Time, tried []domain.InstanceID) bool
+	// Release gives the place back, with how the attempt spoke for the target.
+	Release(v Verdict)
 }
 
 // Verdict is what an attempt shows about its target.
--- a/node/place.go
+++ b/node/place.go
@@ -28,8 +28,8 @@
 // Witness implements gateway.Lease.
 func (p *place) Witness() string { return p.fleet.witness(p.target) }
 
-// Wanted implements gateway.Lease.
-func (p *place) Wanted(now time.Time) bool {
+// MaySend implements gateway.Lease.
+func (p *place) MaySend(now time.Time) bool {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	id := p.target.ID()
@@ -39,8 +39,8 @@
 	return p.fleet.limits.Admits(now, id, p.permitted, p.taken)
 }
 
-// Heard implements gateway.Lease.
-func (p *place) Heard(now time.Time, a call.Answer) {
+// UpdateStatus implements gateway.Lease.
+func (p *place) UpdateStatus(now time.Time, a call.Answer) {
 	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
 		if l := a.Load; l != nil {
 			b.Report(now, p.target.ID(), routing.Report{Running: l.Running, Waiting: l.Waiting})
@@ -58,8 +58,8 @@
 	p.fleet.names(now, p.target.ID(), a.Limit, p.taken)
 }
 
-// Overdue implements gateway.Lease.
-func (p *place) Overdue() {
+// ResponseOverdue implements gateway.Lease.
+func (p *place) ResponseOverdue() {
 	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) { p.reportFailure(clock.Now(), r, b) })
 }
 
@@ -78,25 +78,25 @@
 	}
 }
 
-// Began implements gateway.Lease.
-func (p *place) Began() {
+// ResponseStarted implements gateway.Lease.
+func (p *place) ResponseStarted() {
 	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.Began(clock.Now(), p.ticket) })
 }
 
-// Drags implements gateway.Lease.
-func (p *place) Drags(now time.Time, tried []domain.InstanceID) bool {
+// IsStraggler implements gateway.Lease.
+func (p *place) IsStraggler(now time.Time, tried []domain.InstanceID) bool {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	return p.fleet.balancer.Drags(now, p.option, p.fleet.options(now, p.target.Service(), tried))
 }
 
-// Paused implements gateway.Lease.
-func (p *place) Paused(pause, aim time.Duration) {
+// ReportEventGap implements gateway.Lease.
+func (p *place) ReportEventGap(pause, aim time.Duration) {
 	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.Paused(clock.Now(), p.option, pause, aim) })
 }
 
-// End implements gateway.Lease.
-func (p *place) End(v gateway.Verdict) {
+// Release implements gateway.Lease.
+func (p *place) Release(v gateway.Verdict) {
 	now := clock.Now()
 	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
 		b.Ended(now, p.ticket)
