--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -56,7 +56,7 @@
 	switch a.gone = a.ended(ctx, end); {
 	case a.gone:
 		verdict = Gone
-		a.d.g.parts.Quarantine.Ended(clock.Now(), a.d.o.digest, a.lease.Target().ID())
+		a.d.g.parts.Quarantine.TargetEnded(clock.Now(), a.d.o.digest, a.lease.Target().ID())
 	case ctx.Err() != nil && a.exchange != nil && a.exchange.Sent():
 		a.lookBack()
 	}
@@ -76,7 +76,7 @@
 	parts, work, t, witness := a.d.g.parts, a.d.o.digest, a.lease.Target(), a.lease.Witness()
 	clock.AfterFunc(clock.Now().Add(lookBackAfter), func() {
 		if parts.Pool.Ended(context.Background(), t.Address(), witness) {
-			parts.Quarantine.Ended(clock.Now(), work, t.ID())
+			parts.Quarantine.TargetEnded(clock.Now(), work, t.ID())
 		}
 	})
 }
@@ -182,7 +182,7 @@
 		a.lease.UpdateStatus(now, a.answer) // the others come from somebody else
 	}
 	if id := a.answer.AtFault; id != "" && id != a.lease.Target().ID().Listed() {
-		a.d.g.parts.Fleet.Blame(id)
+		a.d.g.parts.Fleet.ReportFault(id)
 	}
 	switch a.answer.Outcome {
 	case call.Elsewhere:
@@ -232,7 +232,7 @@
 	if a.answer.RestUntil().IsZero() {
 		return a.answer.Again
 	}
-	at := a.d.g.parts.Fleet.TakesAt(now, a.d.o.service)
+	at := a.d.g.parts.Fleet.AvailableAt(now, a.d.o.service)
 	if at.IsZero() {
 		return a.answer.Again
 	}
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -99,7 +99,7 @@
 	end := a.run(ctx)
 	d.limit = a.answer.Limit
 	if _, served := end.(retry.Answering); served {
-		d.g.parts.Quarantine.Served(clock.Now(), d.o.digest)
+		d.g.parts.Quarantine.WorkServed(clock.Now(), d.o.digest)
 	}
 	cmd := d.course.Ended(clock.Now(), end)
 	d.g.attempted(d.o, a, end, cmd)
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -187,9 +187,9 @@
 	return nil, fault.New(fault.NoTarget, "none is left").RetryAt(time.Now().Add(2 * time.Second))
 }
 
-func (*fleet) Blame(domain.ListedID) {}
+func (*fleet) ReportFault(domain.ListedID) {}
 
-func (f *fleet) TakesAt(time.Time, domain.ServiceName) time.Time { return f.takesAt }
+func (f *fleet) AvailableAt(time.Time, domain.ServiceName) time.Time { return f.takesAt }
 
 type lease struct {
 	f *fleet
@@ -271,13 +271,13 @@
 	return now.Add(2 * time.Minute), q.enough > 0 && len(q.ended) >= q.enough
 }
 
-func (q *quarantine) Ended(_ time.Time, _ call.Digest, id domain.InstanceID) {
+func (q *quarantine) TargetEnded(_ time.Time, _ call.Digest, id domain.InstanceID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ended = append(q.ended, string(id))
 }
 
-func (q *quarantine) Served(time.Time, call.Digest) {
+func (q *quarantine) WorkServed(time.Time, call.Digest) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.served++
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -96,21 +96,21 @@
 	// Acquire gives a place at a target, or an error of the closed list that says
 	// why there is none. For targets that name a limit it may ask another box.
 	Acquire(ctx context.Context, now time.Time, q Query) (Lease, error)
-	// TakesAt is when a target of the service takes requests, as far as is known: now, if one
+	// AvailableAt is when a target of the service takes requests, as far as is known: now, if one
 	// does; zero if it is not known.
-	TakesAt(now time.Time, svc domain.ServiceName) time.Time
-	// Blame reports that a target, named by another, is at fault for a failure.
-	Blame(id domain.ListedID)
+	AvailableAt(now time.Time, svc domain.ServiceName) time.Time
+	// ReportFault reports that a target, named by another, is at fault for a failure.
+	ReportFault(id domain.ListedID)
 }
 
 // Quarantine knows which work is not to be sent to targets, as targets ended under it.
 type Quarantine interface {
 	// Barred tells until when the work is not to be sent, if it is not.
 	Barred(now time.Time, work call.Digest) (until time.Time, barred bool)
-	// Ended takes that the target ended while it had the work.
-	Ended(now time.Time, work call.Digest, id domain.InstanceID)
-	// Served takes that the work was served.
-	Served(now time.Time, work call.Digest)
+	// TargetEnded takes that the target ended while it had the work.
+	TargetEnded(now time.Time, work call.Digest, id domain.InstanceID)
+	// WorkServed takes that the work was served.
+	WorkServed(now time.Time, work call.Digest)
 }
 
 // Parts is what a Gateway is made of.
--- a/node/choosing.go
+++ b/node/choosing.go
@@ -141,8 +141,8 @@
 	return now.Add(admission.Reopens(in, q.Deadline.Sub(now), rand.Float64()))
 }
 
-// TakesAt implements gateway.Fleet.
-func (f *fleet) TakesAt(now time.Time, svc domain.ServiceName) time.Time {
+// AvailableAt implements gateway.Fleet.
+func (f *fleet) AvailableAt(now time.Time, svc domain.ServiceName) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	options := f.options(now, svc, nil)
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -120,8 +120,8 @@
 	return o
 }
 
-// Blame implements gateway.Fleet.
-func (f *fleet) Blame(listed domain.ListedID) {
+// ReportFault implements gateway.Fleet.
+func (f *fleet) ReportFault(listed domain.ListedID) {
 	f.with(func(r *membership.Roster, _ *routing.Balancer) {
 		if id, ok := r.Start(listed); ok {
 			r.Unreachable(clock.Now(), id)
--- a/node/quarantining.go
+++ b/node/quarantining.go
@@ -65,13 +65,13 @@
 	return q.register.Barred(now, d)
 }
 
-// Ended implements gateway.Quarantine.
-func (q *quarantining) Ended(now time.Time, d call.Digest, id domain.InstanceID) {
+// TargetEnded implements gateway.Quarantine.
+func (q *quarantining) TargetEnded(now time.Time, d call.Digest, id domain.InstanceID) {
 	q.take(now, quarantine.Observation{Digest: d, Target: id, At: now}, sourceOwn)
 }
 
-// Served implements gateway.Quarantine.
-func (q *quarantining) Served(now time.Time, d call.Digest) {
+// WorkServed implements gateway.Quarantine.
+func (q *quarantining) WorkServed(now time.Time, d call.Digest) {
 	q.take(now, quarantine.Observation{Digest: d, At: now}, sourceOwn)
 }
 
