--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -55,7 +55,7 @@
 	}
 	switch a.gone = a.ended(ctx, end); {
 	case a.gone:
-		verdict = Gone
+		verdict = ProcessEnded
 		a.d.g.parts.Quarantine.TargetEnded(clock.Now(), a.d.o.digest, a.lease.Target().ID())
 	case ctx.Err() != nil && a.exchange != nil && a.exchange.Sent():
 		a.lookBack()
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -46,7 +46,7 @@
 func (g *Gateway) serve(ctx context.Context, w http.ResponseWriter, o *order) {
 	ctx, cancel := clock.WithDeadline(ctx, o.deadline)
 	defer cancel()
-	d := &delivery{g: g, o: o, w: w, after: o.After(), purse: g.parts.Purse(o.service)}
+	d := &delivery{g: g, o: o, w: w, after: o.After(), purse: g.parts.Budget(o.service)}
 	rules := retry.Rules{
 		Repeat: o.route.MayRepeat(), Resume: o.route.MayResume(), Attempts: o.route.Attempts(),
 		Deadline: o.deadline, Patience: patienceAims * o.route.Aim(),
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -244,7 +244,7 @@
 	names := map[gateway.Verdict]string{
 		gateway.Neutral: "neutral", gateway.Good: "good", gateway.Bad: "bad",
 		gateway.Full:        "full",
-		gateway.Unreachable: "unreachable", gateway.Replaced: "replaced", gateway.Gone: "gone",
+		gateway.Unreachable: "unreachable", gateway.Replaced: "replaced", gateway.ProcessEnded: "gone",
 	}
 	l.f.mu.Lock()
 	defer l.f.mu.Unlock()
@@ -296,10 +296,10 @@
 	t.Helper()
 	f := &fleet{targets: targets, began: make(chan struct{}, 1)}
 	q := &quarantine{}
-	g := gateway.New(gateway.Parts{
+	g := gateway.New(gateway.Dependencies{
 		Common: telemetry.Quiet(), Headers: speech{}, Fleet: f, Quarantine: q,
 		Pool:  transport.NewPool(transport.Dial(transport.Timing{Connect: time.Second, Unheard: time.Second}), transport.DefaultSettings()),
-		Purse: func(domain.ServiceName) retry.Purse { return purse{} },
+		Budget: func(domain.ServiceName) retry.Purse { return purse{} },
 	})
 	g.Configure(routes(t))
 	s := httptest.NewServer(g)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -87,8 +87,8 @@
 	Unreachable
 	// Replaced: another instance stands at the address.
 	Replaced
-	// Gone: its process ended during the attempt.
-	Gone
+	// ProcessEnded: its process ended during the attempt.
+	ProcessEnded
 )
 
 // Fleet chooses targets.
@@ -113,20 +113,20 @@
 	WorkServed(now time.Time, work call.Digest)
 }
 
-// Parts is what a Gateway is made of.
-type Parts struct {
+// Dependencies is what a Gateway is made of.
+type Dependencies struct {
 	Common     telemetry.Common
 	Headers    HeaderCodec
 	Fleet      Fleet
 	Pool       *transport.Pool
 	Quarantine Quarantine
-	// Purse pays for further attempts of requests to a service.
-	Purse func(domain.ServiceName) retry.Purse
+	// Budget pays for further attempts of requests to a service.
+	Budget func(domain.ServiceName) retry.Purse
 }
 
 // Gateway serves callers. It is an http.Handler.
 type Gateway struct {
-	parts    Parts
+	parts    Dependencies
 	catalog  atomic.Pointer[catalog.Catalog]
 	inFlight atomic.Int64
 	leaving  atomic.Pointer[time.Time] // when this box ends at the latest; nil while it stays
@@ -135,7 +135,7 @@
 }
 
 // New returns a gateway without a configuration.
-func New(p Parts) *Gateway { return &Gateway{parts: p, draw: rand.Float64, stays: newStays()} }
+func New(p Dependencies) *Gateway { return &Gateway{parts: p, draw: rand.Float64, stays: newStays()} }
 
 // Configure puts a catalog in force for requests that come from now on.
 func (g *Gateway) Configure(c *catalog.Catalog) { g.catalog.Store(c) }
@@ -146,12 +146,12 @@
 // InFlight is how many requests are being served.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// Leave makes every further answer notify its caller that the connection ends. What most
+// BeginStop makes every further answer notify its caller that the connection ends. What most
 // likely does not fit into the time until the end is not let in any more.
-func (g *Gateway) Leave(end time.Time) { g.leaving.Store(&end) }
+func (g *Gateway) BeginStop(end time.Time) { g.leaving.Store(&end) }
 
-// Leaving reports whether Leave was called.
-func (g *Gateway) Leaving() bool { return g.leaving.Load() != nil }
+// Stopping reports whether Leave was called.
+func (g *Gateway) Stopping() bool { return g.leaving.Load() != nil }
 
 // elsewhere is after how long a caller that was not let in comes back, to another box:
 // the time of a new connection.
@@ -171,7 +171,7 @@
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	if g.Leaving() {
+	if g.Stopping() {
 		w.Header().Set("Connection", "close")
 	}
 	now := clock.Now()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -256,7 +256,7 @@
 
 func TestABoxThatLeavesSaysThatConnectionsEnd(t *testing.T) {
 	r := newRig(t, newTarget(t, "a", ok, ok))
-	r.g.Leave(time.Now().Add(time.Hour))
+	r.g.BeginStop(time.Now().Add(time.Hour))
 	got := r.ask("GET", "/once/", "")
 	if got.status != 200 || !got.closes {
 		t.Errorf("status %d, closes %v", got.status, got.closes)
@@ -276,11 +276,11 @@
 	if got := r.ask("POST", "/once/", "body"); got.status != 200 {
 		t.Fatalf("answered %d", got.status)
 	}
-	r.g.Leave(time.Now().Add(time.Hour))
+	r.g.BeginStop(time.Now().Add(time.Hour))
 	if got := r.ask("POST", "/once/", "body"); got.status != 200 {
 		t.Errorf("answered %d with an hour left", got.status)
 	}
-	r.g.Leave(time.Now().Add(lasts / 2))
+	r.g.BeginStop(time.Now().Add(lasts / 2))
 	got := r.ask("POST", "/once/", "body")
 	if got.status != 503 || got.header.Get("Retry-After") == "" || !got.closes {
 		t.Errorf("answered %d, %v, with no time left", got.status, got.header)
--- a/node/adverts.go
+++ b/node/adverts.go
@@ -32,7 +32,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := &mesh.Advert{
-		Self: contactOf(p.self, 0), Hall: domain.HallName(p.entry.settings().Hall), Leaving: p.entry.gateway.Leaving(),
+		Self: contactOf(p.self, 0), Hall: domain.HallName(p.entry.settings().Hall), Leaving: p.entry.gateway.Stopping(),
 		Config: own.Config, Targets: own.Targets, News: news,
 		FailureReports: failureReports, Leavers: leavers, Works: works,
 		Limits: limits, Blank: !p.briefed,
--- a/node/leave.go
+++ b/node/leave.go
@@ -23,7 +23,7 @@
 	began := clock.Now()
 	end := began.Add(e.settings().Bounds.Stop.Std() - process.StopMargin)
 	e.ready.leaving.Store(true)
-	e.gateway.Leave(end)
+	e.gateway.BeginStop(end)
 	e.peering.notify() // others look for another issuer of permits
 	e.common.Log.Info("leaving", "in_flight", e.gateway.InFlight(), "until", end)
 	ctx, cancel := clock.WithDeadline(context.Background(), end)
--- a/node/peering.go
+++ b/node/peering.go
@@ -86,7 +86,7 @@
 func (p *peering) issuer(now time.Time, svc domain.ServiceName) membership.Contact {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.boxes.Issuer(now, svc, p.entry.gateway.Leaving())
+	return p.boxes.Issuer(now, svc, p.entry.gateway.Stopping())
 }
 
 // part is how many boxes this one counts as an issuer, and how many share limits.
--- a/node/place.go
+++ b/node/place.go
@@ -108,7 +108,7 @@
 			p.reportFailure(now, r, b)
 		case gateway.Full:
 			r.Failed(now, p.target.ID())
-		case gateway.Unreachable, gateway.Gone:
+		case gateway.Unreachable, gateway.ProcessEnded:
 			r.Unreachable(now, p.target.ID())
 		case gateway.Replaced:
 			r.Replaced(p.target.ID())
