--- a/node/budgets.go
+++ b/node/budgets.go
@@ -55,7 +55,7 @@
 	return b.bounds.RetrySlack * budgetMargin / float64(b.boxes) / b.bounds.RetryWindow.Std().Seconds() / 2
 }
 
-// purse implements gateway.Parts.Purse.
+// purse implements gateway.Dependencies.Budget.
 func (b *budgets) purse(svc domain.ServiceName) retry.Purse {
 	return servicePurse{budgets: b, service: svc}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -13,7 +13,7 @@
 // TestPromisesHoldUnderFaults is a short run of the soak; docs/TESTING.md reports the
 // long ones. Seeds that ever failed are kept here, with a line on the cause:
 // 134, net/http dropped a request read just as a stopping box shut its listener
-// (now gateway.Door); 405 with a fatal caller, the whole machine stood still for seconds, and so
+// (now gateway.Listener); 405 with a fatal caller, the whole machine stood still for seconds, and so
 // did the run itself.
 func TestPromisesHoldUnderFaults(t *testing.T) {
 	if testing.Short() {
