--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -16,86 +16,87 @@
 	"clovertrail.dev/transport"
 )
 
-// attempt is one try of an order at one target.
+// attempt is one attempt of a request at one target.
 type attempt struct {
-	d          *delivery
-	lease      Lease
-	try        retry.Try
-	exchange   *transport.Exchange
-	answer     call.Answer
-	impatience *clock.Timer
-	overdue    *clock.Timer
-	last       time.Time     // when the last events came
-	pause      time.Duration // before them
-	gone       bool          // the target's process ended during the attempt
+	d              *delivery
+	lease          Lease
+	try            retry.Try
+	exchange       *transport.Exchange
+	response       call.Answer
+	firstByteTimer *clock.Timer  // cancels the attempt if the response does not begin
+	overdueTimer   *clock.Timer  // reports the target if the response does not begin
+	lastEventsAt   time.Time     // arrival of the last events of the stream
+	gap            time.Duration // between the last two arrivals of events
+	processEnded   bool          // the target's process ended during the attempt
 }
 
-var errUnwanted = errors.New("the target asked for rest, named a limit, or is leaving, before the request was sent")
+var errTargetUnavailable = errors.New("the target asked for rest, named a limit, or is leaving, before the request was sent")
 
-var errImpatient = errors.New("the answer did not begin in time")
+var errFirstByteTimeout = errors.New("the response did not begin in time")
 
-// run makes the attempt and passes on what it brings.
+// run makes the attempt and forwards the response to the caller.
 func (a *attempt) run(caller context.Context) retry.End {
 	ctx, cancel := context.WithCancelCause(caller)
 	defer cancel(nil)
 	if !a.try.Patience.IsZero() {
-		a.impatience = clock.AfterFunc(a.try.Patience, func() { cancel(errImpatient) })
-		defer a.impatience.Stop()
+		a.firstByteTimer = clock.AfterFunc(a.try.Patience, func() { cancel(errFirstByteTimeout) })
+		defer a.firstByteTimer.Stop()
 	}
-	if aim := a.d.o.route.Aim(); aim > 0 {
-		a.overdue = clock.AfterFunc(clock.Now().Add(time.Duration(overdueAims*float64(aim))), a.lease.ResponseOverdue)
-		defer a.overdue.Stop()
+	if aim := a.d.req.route.Aim(); aim > 0 {
+		a.overdueTimer = clock.AfterFunc(clock.Now().Add(time.Duration(overdueAims*float64(aim))), a.lease.ResponseOverdue)
+		defer a.overdueTimer.Stop()
 	}
-	end, verdict := a.carry(ctx)
-	if errors.Is(context.Cause(ctx), errImpatient) {
-		end, verdict = impatient(end, verdict)
+	end, verdict := a.roundTrip(ctx)
+	if errors.Is(context.Cause(ctx), errFirstByteTimeout) {
+		end, verdict = endAfterFirstByteTimeout(end, verdict)
 	}
 	if callerGone(caller) && verdict != Good {
 		verdict = Neutral
 	}
-	switch a.gone = a.ended(ctx, end); {
-	case a.gone:
+	switch a.processEnded = a.targetProcessEnded(ctx, end); {
+	case a.processEnded:
 		verdict = ProcessEnded
-		a.d.g.parts.Quarantine.TargetEnded(clock.Now(), a.d.o.digest, a.lease.Target().ID())
+		a.d.g.deps.Quarantine.TargetEnded(clock.Now(), a.d.req.digest, a.lease.Target().ID())
 	case ctx.Err() != nil && a.exchange != nil && a.exchange.Sent():
-		a.lookBack()
+		a.scheduleProcessCheck()
 	}
 	a.lease.Release(verdict)
 	return end
 }
 
-// lookBackAfter is how long after an attempt was given up its target is looked at. Most drop
-// work as its connection closes, and those that do not crash under it within a second; one
-// that did is away for longer than this.
-const lookBackAfter = 1500 * time.Millisecond
+// processCheckDelay is the time between the cancellation of an attempt and the check whether its
+// target's process has ended. Most targets drop work as its connection closes; those that do not
+// crash under it within a second, and a target that crashed is away for longer than this delay.
+const processCheckDelay = 1500 * time.Millisecond
 
-// lookBack finds out later whether the target ended under work for which nobody waits any
-// more, as where a caller leaves before the crash. Otherwise nobody ever would, and a caller who
-// left each time would end one target after the other.
-func (a *attempt) lookBack() {
-	parts, work, t, witness := a.d.g.parts, a.d.o.digest, a.lease.Target(), a.lease.Witness()
-	clock.AfterFunc(clock.Now().Add(lookBackAfter), func() {
-		if parts.Pool.Ended(context.Background(), t.Address(), witness) {
-			parts.Quarantine.TargetEnded(clock.Now(), work, t.ID())
+// scheduleProcessCheck checks later whether the target ended under work of a cancelled attempt, as
+// happens where a caller leaves before the crash. Without the check nobody would notice, and a
+// caller that left each time would end one target after the other.
+func (a *attempt) scheduleProcessCheck() {
+	deps, work, t, witness := a.d.g.deps, a.d.req.digest, a.lease.Target(), a.lease.Witness()
+	clock.AfterFunc(clock.Now().Add(processCheckDelay), func() {
+		if deps.Pool.Ended(context.Background(), t.Address(), witness) {
+			deps.Quarantine.TargetEnded(clock.Now(), work, t.ID())
 		}
 	})
 }
 
-// ended reports whether the target's process ended during the attempt, and not only the
-// attempt's connection. Where a group loses a rank the others cut what they had, and live:
-// what they had is not to be blamed for it.
-func (a *attempt) ended(ctx context.Context, end retry.End) bool {
+// targetProcessEnded reports whether the target's process ended during the attempt, and not only
+// its connection. When a group loses a rank, the other ranks cut off their work but stay alive;
+// that work must not be blamed.
+func (a *attempt) targetProcessEnded(ctx context.Context, end retry.End) bool {
 	switch end.(type) {
 	case retry.Lost, retry.Broken:
-		return ctx.Err() == nil && a.d.g.parts.Pool.Ended(ctx, a.lease.Target().Address(), a.lease.Witness())
+		return ctx.Err() == nil && a.d.g.deps.Pool.Ended(ctx, a.lease.Target().Address(), a.lease.Witness())
 	default:
 		return false
 	}
 }
 
-// impatient gives the end of an attempt that was cut off for its silence.
-func impatient(end retry.End, v Verdict) (retry.End, Verdict) {
-	if _, never := end.(retry.Unreached); never {
+// endAfterFirstByteTimeout returns the end and the verdict of an attempt that was cancelled by the
+// timeout for the first byte of its response.
+func endAfterFirstByteTimeout(end retry.End, v Verdict) (retry.End, Verdict) {
+	if _, unreached := end.(retry.Unreached); unreached {
 		return end, v
 	}
 	end = retry.CutShort(end)
@@ -103,148 +104,149 @@
 	case retry.Silent:
 		return end, Bad
 	default:
-		return end, Good // it came at the last moment
+		return end, Good // the response began as the timeout fired
 	}
 }
 
-// carry sends the request and handles the answer.
-func (a *attempt) carry(ctx context.Context) (retry.End, Verdict) {
-	x, err := a.d.g.parts.Pool.Open(ctx, a.lease.Target().Address(), a.reuse())
+// roundTrip sends the request and handles the response.
+func (a *attempt) roundTrip(ctx context.Context) (retry.End, Verdict) {
+	x, err := a.d.g.deps.Pool.Open(ctx, a.lease.Target().Address(), a.connectionReuse())
 	if err != nil {
 		return retry.Unreached{Err: err}, Unreachable
 	}
 	a.exchange = x
 	defer x.Close()
-	// A connection may take a second to come up, and the target may have spoken meanwhile.
+	// A connection may take a second to open, and the target may have sent an update meanwhile.
 	if !a.lease.MaySend(clock.Now()) {
-		return retry.Unreached{Err: errUnwanted}, Neutral
+		return retry.Unreached{Err: errTargetUnavailable}, Neutral
 	}
 	x.Bind(ctx)
-	req := a.request(ctx)
+	req := a.outboundRequest(ctx)
 	if err := x.Send(req); err != nil && !x.Sent() {
 		return retry.Unreached{Err: err}, Neutral
 	}
-	// After a failed write an answer may still have come, such as an early refusal.
-	resp, err := x.Receive(req, a.mine)
+	// Even after a failed write there may be a response to read, such as an early refusal.
+	resp, err := x.Receive(req, a.isOwnResponse)
 	if err != nil {
-		return a.lost(ctx, err)
+		return a.noResponse(ctx, err)
 	}
 	defer func() { _ = resp.Body.Close() }() // the exchange closes the connection
-	return a.answered(ctx, resp)
+	return a.handleResponse(ctx, resp)
 }
 
-// reuse: a request that may run only once must not be lost on a connection that
-// its target has forgotten.
-func (a *attempt) reuse() transport.Reuse {
-	if a.d.o.route.MayRepeat() {
+// connectionReuse returns Fresh for requests that may run only once: on a kept connection that its
+// target has already dropped, such a request would be lost and could not be repeated.
+func (a *attempt) connectionReuse() transport.Reuse {
+	if a.d.req.route.MayRepeat() {
 		return transport.Kept
 	}
 	return transport.Fresh
 }
 
-// request is the caller's, with what the target receives beside it.
-func (a *attempt) request(ctx context.Context) *http.Request {
-	o := a.d.o
-	h := passedOn(o.http.Header)
-	a.d.g.parts.Headers.WriteAttempt(clock.Now(), h, a.d.told(a.lease.Target(), a.try.Resume))
-	if _, given := h["User-Agent"]; !given {
-		h["User-Agent"] = nil // net/http would add its own
+// outboundRequest returns the caller's request with the headers of the attempt.
+func (a *attempt) outboundRequest(ctx context.Context) *http.Request {
+	in := a.d.req
+	h := endToEndHeaders(in.http.Header)
+	a.d.g.deps.Headers.WriteAttempt(clock.Now(), h, a.d.attemptFields(a.lease.Target(), a.try.Resume))
+	if _, set := h["User-Agent"]; !set {
+		h["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	req := &http.Request{
-		Method: o.http.Method, URL: o.http.URL, Host: o.http.Host, Header: h,
-		ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(o.body)),
+		Method: in.http.Method, URL: in.http.URL, Host: in.http.Host, Header: h,
+		ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(in.body)),
 	}
-	if len(o.body) > 0 {
-		req.Body = io.NopCloser(bytes.NewReader(o.body))
+	if len(in.body) > 0 {
+		req.Body = io.NopCloser(bytes.NewReader(in.body))
 	}
 	return req.WithContext(ctx)
 }
 
-// mine distinguishes the answer to this request from a late one to another. An answer that
-// names no request is the one that is due.
-func (a *attempt) mine(r *http.Response) bool {
-	id := a.d.g.parts.Headers.ParseResponse(clock.Now(), r).ID
-	return id == "" || id == a.d.o.ID()
+// isOwnResponse distinguishes the response to this request from a late response to an earlier
+// request on the connection. A response without a request ID counts as its own.
+func (a *attempt) isOwnResponse(r *http.Response) bool {
+	id := a.d.g.deps.Headers.ParseResponse(clock.Now(), r).ID
+	return id == "" || id == a.d.req.ID()
 }
 
-func (a *attempt) lost(ctx context.Context, err error) (retry.End, Verdict) {
+// noResponse returns the end and the verdict of an attempt that was sent and got no response.
+func (a *attempt) noResponse(ctx context.Context, err error) (retry.End, Verdict) {
 	if ctx.Err() != nil {
 		return retry.Expired{}, Neutral
 	}
 	return retry.Lost{Err: err}, Bad
 }
 
-// answered handles an answer whose head has come.
-func (a *attempt) answered(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+// handleResponse handles a response whose headers have arrived.
+func (a *attempt) handleResponse(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
 	now := clock.Now()
-	a.answer = a.d.g.parts.Headers.ParseResponse(now, resp)
-	if a.answer.Outcome != call.Elsewhere && a.answer.Outcome != call.Foreign {
-		a.lease.UpdateStatus(now, a.answer) // the others come from somebody else
+	a.response = a.d.g.deps.Headers.ParseResponse(now, resp)
+	if a.response.Outcome != call.Elsewhere && a.response.Outcome != call.Foreign {
+		a.lease.UpdateStatus(now, a.response) // the target did not send the two other kinds
 	}
-	if id := a.answer.AtFault; id != "" && id != a.lease.Target().ID().Listed() {
-		a.d.g.parts.Fleet.ReportFault(id)
+	if id := a.response.AtFault; id != "" && id != a.lease.Target().ID().Listed() {
+		a.d.g.deps.Fleet.ReportFault(id)
 	}
-	switch a.answer.Outcome {
+	switch a.response.Outcome {
 	case call.Elsewhere:
-		return retry.Declined{Err: fault.New(fault.StaleIncarnation, "another instance stands at %s", a.lease.Target().Address())}, Replaced
+		return retry.Declined{Err: fault.New(fault.StaleIncarnation, "another instance listens at %s", a.lease.Target().Address())}, Replaced
 	case call.Declined:
 		drain(resp)
-		return retry.Declined{Err: fault.New(fault.Overloaded, "the target answered %d and did not run it", resp.StatusCode).RetryAt(a.retryAt(now))}, Full
+		return retry.Declined{Err: fault.New(fault.Overloaded, "the target responded with status %d and did not run the request", resp.StatusCode).RetryAt(a.callerRetryAt(now))}, Full
 	case call.Foreign:
-		return retry.Lost{Err: errors.New("the answer is not one of the target's")}, Bad
+		return retry.Lost{Err: errors.New("the response did not come from the target")}, Bad
 	case call.Failed:
-		return a.failed(ctx, resp)
+		return a.bufferFailure(ctx, resp)
 	default:
-		return a.served(ctx, resp)
+		return a.forward(ctx, resp)
 	}
 }
 
-// served passes an answer on.
-func (a *attempt) served(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
-	if a.d.o.route.Kind() == catalog.Stream && resp.StatusCode == http.StatusOK {
-		return a.stream(ctx, resp)
+// forward sends the response on to the caller.
+func (a *attempt) forward(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+	if a.d.req.route.Kind() == catalog.Stream && resp.StatusCode == http.StatusOK {
+		return a.forwardStream(ctx, resp)
 	}
-	return a.plain(ctx, resp)
+	return a.forwardPlain(ctx, resp)
 }
 
-// began stops the patience: the target is at work.
-func (a *attempt) began() {
-	if a.impatience != nil {
-		a.impatience.Stop()
+// responseStarted stops the timers for the first byte of the response.
+func (a *attempt) responseStarted() {
+	if a.firstByteTimer != nil {
+		a.firstByteTimer.Stop()
 	}
-	if a.overdue != nil {
-		a.overdue.Stop()
+	if a.overdueTimer != nil {
+		a.overdueTimer.Stop()
 	}
 	a.lease.ResponseStarted()
 }
 
-// drain reads a short body so that the connection can be kept.
+// drain reads a short body so that the connection can be reused.
 func drain(resp *http.Response) {
-	const most = 16 << 10
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, most)) // a failure shows when the connection is kept
+	const maxBytes = 16 << 10
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBytes)) // an error shows when the connection is reused
 }
 
-// retryAt is when the caller of a request that the target declined best comes back; zero if the
-// target does not state. One that
-// wants nothing for a while reports nothing about the others: where one of them takes requests, callers
-// come back as soon as they can be elsewhere, else as the first takes some again.
-func (a *attempt) retryAt(now time.Time) time.Time {
-	if a.answer.RestUntil().IsZero() {
-		return a.answer.Again
+// callerRetryAt returns when the caller of a declined request should retry; zero if the target does
+// not state it. A target that asks for rest says nothing about the other targets. If another target
+// accepts requests now, callers retry as soon as they can reach another box, else when the first
+// target accepts requests again.
+func (a *attempt) callerRetryAt(now time.Time) time.Time {
+	if a.response.RestUntil().IsZero() {
+		return a.response.Again
 	}
-	at := a.d.g.parts.Fleet.AvailableAt(now, a.d.o.service)
+	at := a.d.g.deps.Fleet.AvailableAt(now, a.d.req.service)
 	if at.IsZero() {
-		return a.answer.Again
+		return a.response.Again
 	}
-	if soonest := now.Add(elsewhere); at.Before(soonest) {
+	if soonest := now.Add(otherBoxRetryDelay); at.Before(soonest) {
 		return soonest
 	}
 	return at
 }
 
-// rest is for how long the target asked to be sent nothing; 0 if it did not.
-func (a *attempt) rest() time.Duration {
-	until := a.answer.RestUntil()
+// requestedRest returns the time for which the target asked to be sent nothing; 0 if it did not.
+func (a *attempt) requestedRest() time.Duration {
+	until := a.response.RestUntil()
 	if until.IsZero() {
 		return 0
 	}
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -13,79 +13,79 @@
 	"clovertrail.dev/retry"
 )
 
-// patienceAims is after how many times its aim an answer that has not begun is
-// asked for elsewhere. Answers in time begin within one; of those later than this few begin at
-// all (docs/design/platform.md).
-const patienceAims = 3
+// firstByteTimeoutAims is the timeout for the first byte of a response, as a multiple of the
+// route's aim; after it the request is sent to another target. Responses in time begin within one
+// aim, and few of those later than this multiple begin at all (docs/design/platform.md).
+const firstByteTimeoutAims = 3
 
-// overdueAims is after how many times its aim an answer that has not begun is reported to
-// other boxes, which may see the same of its target.
+// overdueAims is the time, as a multiple of the route's aim, after which a response that has not
+// begun is reported to other boxes, which may see the same of its target.
 const overdueAims = 1.5
 
-// delivery moves one order through its attempts.
+// delivery runs one request through its attempts.
 type delivery struct {
 	g      *Gateway
-	o      *order
+	req    *inboundRequest
 	w      http.ResponseWriter
 	course *retry.Course
-	purse  retry.Purse
+	budget retry.Purse
 	tried  []domain.InstanceID
 
-	began  bool   // the head went to the caller
-	status int    // of it
-	after  string // the last event that the caller has
-	events int
-	first  time.Time     // when the caller got the first byte
-	last   time.Time     // when the caller got the last events
-	pause  time.Duration // the longest between events
-	held   *answer       // a failed answer that may have to be passed on
-	limit  call.Limit    // that the target of the last attempt named
+	headSent     bool   // the response head was sent to the caller
+	status       int    // status sent to the caller
+	after        string // ID of the last event sent to the caller
+	events       int
+	firstByteAt  time.Time         // when the response head was sent to the caller
+	lastEventsAt time.Time         // when the last events were sent to the caller
+	maxGap       time.Duration     // longest time between events
+	buffered     *bufferedResponse // failure response, sent if there is no other attempt
+	limit        call.Limit        // limit named by the target of the last attempt
 }
 
-// serve drives the order's machine to its end.
-func (g *Gateway) serve(ctx context.Context, w http.ResponseWriter, o *order) {
-	ctx, cancel := clock.WithDeadline(ctx, o.deadline)
+// serve executes the commands of the request's retry state machine until the request has ended.
+func (g *Gateway) serve(ctx context.Context, w http.ResponseWriter, req *inboundRequest) {
+	ctx, cancel := clock.WithDeadline(ctx, req.deadline)
 	defer cancel()
-	d := &delivery{g: g, o: o, w: w, after: o.After(), purse: g.parts.Budget(o.service)}
+	d := &delivery{g: g, req: req, w: w, after: req.After(), budget: g.deps.Budget(req.service)}
 	rules := retry.Rules{
-		Repeat: o.route.MayRepeat(), Resume: o.route.MayResume(), Attempts: o.route.Attempts(),
-		Deadline: o.deadline, Patience: patienceAims * o.route.Aim(),
+		Repeat: req.route.MayRepeat(), Resume: req.route.MayResume(), Attempts: req.route.Attempts(),
+		Deadline: req.deadline, Patience: firstByteTimeoutAims * req.route.Aim(),
 	}
-	d.course = retry.NewCourse(rules, d.purse)
-	for cmd := d.course.Start(o.arrived); ; {
+	d.course = retry.NewCourse(rules, d.budget)
+	for cmd := d.course.Start(req.arrived); ; {
 		if callerGone(ctx) {
-			g.left(o, d)
+			g.logCallerGone(req, d)
 			panic(http.ErrAbortHandler)
 		}
 		switch c := cmd.(type) {
 		case retry.Try:
 			cmd = d.try(ctx, c)
 		case retry.Deliver:
-			d.deliver()
+			d.finish()
 			return
 		case retry.Refuse:
-			g.refuse(w, o, c.Err)
+			g.refuse(w, req, c.Err)
 			return
 		case retry.Abort:
-			g.aborted(o, d, c.Err)
-			panic(http.ErrAbortHandler) // closes the connection without a proper end
+			g.logAborted(req, d, c.Err)
+			panic(http.ErrAbortHandler) // closes the connection without the end of the response
 		}
 	}
 }
 
-// callerGone distinguishes a caller that left from a deadline that passed.
+// callerGone reports whether the caller left, as opposed to a deadline that passed.
 func callerGone(ctx context.Context) bool { return errors.Is(context.Cause(ctx), context.Canceled) }
 
-// try makes one attempt and returns what to do after it.
+// try makes one attempt and returns the next command.
 func (d *delivery) try(ctx context.Context, t retry.Try) retry.Command {
 	now := clock.Now()
-	// Asked before each attempt: what one attempt ended under, the next must not meet.
-	if until, barred := d.g.parts.Quarantine.Barred(now, d.o.digest); barred {
+	// Checked before each attempt: work that ended the target of one attempt must not reach another.
+	if until, barred := d.g.deps.Quarantine.Barred(now, d.req.digest); barred {
 		return d.course.Barred(now, fault.New(fault.Quarantined, "targets ended under this work").RetryAt(until))
 	}
-	lease, err := d.g.parts.Fleet.Acquire(ctx, now, Query{
-		Service: d.o.service, Tried: d.tried, First: len(d.tried) == 0,
-		Route: d.o.route.Name(), Aim: d.o.route.Aim(), Deadline: d.o.deadline,
+	lease, err := d.g.deps.Fleet.Acquire(ctx, now, Query{
+		Service: d.req.service, Tried: d.tried, First: len(d.tried) == 0,
+		Route: d.req.route.Name(), Aim: d.req.route.Aim(), Deadline: d.req.deadline,
 	})
 	if err != nil {
 		f := fault.Find(err)
@@ -97,26 +97,26 @@
 	d.tried = append(d.tried, lease.Target().ID())
 	a := &attempt{d: d, lease: lease, try: t}
 	end := a.run(ctx)
-	d.limit = a.answer.Limit
+	d.limit = a.response.Limit
 	if _, served := end.(retry.Answering); served {
-		d.g.parts.Quarantine.WorkServed(clock.Now(), d.o.digest)
+		d.g.deps.Quarantine.WorkServed(clock.Now(), d.req.digest)
 	}
 	cmd := d.course.Ended(clock.Now(), end)
-	d.g.attempted(d.o, a, end, cmd)
+	d.g.logAttempt(d.req, a, end, cmd)
 	return cmd
 }
 
-// deliver ends an order whose answer has passed, or passes on one that was held.
-func (d *delivery) deliver() {
-	if d.held != nil && !d.began {
-		d.held.pass(d)
+// finish sends the buffered failure response, unless a response was already sent to the caller.
+func (d *delivery) finish() {
+	if d.buffered != nil && !d.headSent {
+		d.buffered.send(d)
 	}
-	d.g.delivered(d.o, d)
+	d.g.logDelivered(d.req, d)
 }
 
-// told is what the target of an attempt receives.
-func (d *delivery) told(t domain.Target, resume bool) call.Attempt {
-	a := call.Attempt{Instance: t.ID(), Organisation: d.o.org.Name, Deadline: d.o.deadline}
+// attemptFields returns what the target of an attempt receives besides the caller's request.
+func (d *delivery) attemptFields(t domain.Target, resume bool) call.Attempt {
+	a := call.Attempt{Instance: t.ID(), Organisation: d.req.org.Name, Deadline: d.req.deadline}
 	if resume {
 		a.After = d.after
 	}
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,18 +1,19 @@
-// Package gateway is the path of a request through an entry box: from a caller's
-// HTTP request over the choice of a target to the answer.
+// Package gateway carries a request through an entry box: from the caller's HTTP
+// request through the choice of a target to the response.
 //
-// A Gateway takes in a request (intake.go), then drives the machine of package
-// retry over its attempts (delivery.go). Each attempt asks the Fleet for a target,
-// sends the request there (attempt.go), and passes the answer on, whole
-// (plain.go) or event by event (stream.go). What the wire calls things is known to
-// the Speech alone. A Door lets connections in, and out at a planned stop.
+// A Gateway validates a request (intake.go), then runs the state machine of package
+// retry over the attempts of the request (delivery.go). Each attempt acquires a target
+// from the Fleet, sends the request there (attempt.go), and forwards the response,
+// whole (plain.go) or event by event (stream.go). Only the HeaderCodec knows the names
+// of the headers on the wire. A Listener accepts callers' connections and drains them
+// at a planned stop.
 //
-// A request that is given up is answered at once; an answer that has begun and
-// cannot be ended is broken off, never ended as if it were whole.
+// A request that is given up is answered at once. A response that has begun and
+// cannot be completed is aborted: it never ends as if it were complete.
 //
 // # Usage
 //
-//	g := gateway.New(gateway.Parts{Common: common, Speech: speech, Fleet: fleet, Pool: pool, Purse: budgets})
+//	g := gateway.New(gateway.Dependencies{Common: common, Headers: codec, Fleet: fleet, Pool: pool, Budget: budgets})
 //	g.Configure(catalog)
 //	http.Serve(listener, g)
 package gateway
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -206,8 +206,8 @@
 	return t
 }
 
-func (*lease) Witness() string { return "" }
-func (*lease) ResponseOverdue()        {}
+func (*lease) Witness() string  { return "" }
+func (*lease) ResponseOverdue() {}
 
 func (l *lease) MaySend(time.Time) bool {
 	l.f.mu.Lock()
@@ -298,7 +298,7 @@
 	q := &quarantine{}
 	g := gateway.New(gateway.Dependencies{
 		Common: telemetry.Quiet(), Headers: speech{}, Fleet: f, Quarantine: q,
-		Pool:  transport.NewPool(transport.Dial(transport.Timing{Connect: time.Second, Unheard: time.Second}), transport.DefaultSettings()),
+		Pool:   transport.NewPool(transport.Dial(transport.Timing{Connect: time.Second, Unheard: time.Second}), transport.DefaultSettings()),
 		Budget: func(domain.ServiceName) retry.Purse { return purse{} },
 	})
 	g.Configure(routes(t))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,56 +17,56 @@
 	"clovertrail.dev/transport"
 )
 
-// HeaderCodec reads and writes the wire's headers.
+// HeaderCodec reads and writes the headers of requests and responses on the wire.
 type HeaderCodec interface {
-	// ParseRequest reads a caller's request; the body is left alone.
+	// ParseRequest reads the headers of a caller's request. It does not read the body.
 	ParseRequest(now time.Time, r *http.Request) (call.Request, error)
-	// WriteAttempt writes into the headers what the target is told.
+	// WriteAttempt writes the fields of an attempt into the headers of a request to a target.
 	WriteAttempt(now time.Time, h http.Header, a call.Attempt)
-	// ParseResponse reads the head of a target's answer, which came now.
+	// ParseResponse reads the status and headers of a target's response that arrived now.
 	ParseResponse(now time.Time, r *http.Response) call.Answer
 }
 
-// Query is what is known of a request that looks for a target.
+// Query describes a request for which a target is to be chosen.
 type Query struct {
 	Service domain.ServiceName
-	// Tried are instances that had an attempt of the request.
+	// Tried lists the instances that already had an attempt of the request.
 	Tried []domain.InstanceID
-	// First reports that this is the first attempt; a further one is not refused for
-	// want of room.
+	// First reports whether this is the first attempt. Further attempts are not refused for
+	// lack of capacity.
 	First bool
 	Route string
-	// Aim is the time within which an answer must begin to be in time.
+	// Aim is the time within which the response has to begin to meet the route's objective.
 	Aim time.Duration
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
 }
 
-// Lease is a place at a target for one attempt. One of its methods is called last,
-// and ends it.
+// Lease is the use of a target for one attempt. Release is called last, exactly once.
 type Lease interface {
-	// Target is the target that was chosen.
+	// Target returns the chosen target.
 	Target() domain.Target
-	// Witness is the address of another process that is reached on the same way as the
-	// target; empty if there is none.
+	// Witness returns the address of another process that is reached by the same network path as
+	// the target; empty if there is none.
 	Witness() string
-	// MaySend reports whether the target may still be sent the attempt: it may have said meanwhile
-	// that it is leaving, or asked for rest, or named a limit.
+	// MaySend reports whether the attempt may still be sent to the target. Since it was chosen,
+	// the target may have reported that it is leaving, asked for rest or named a limit.
 	MaySend(now time.Time) bool
-	// UpdateStatus takes what the target reports about itself with an answer: its load, whether it is
-	// leaving, for how long it wants nothing, and how much it takes.
+	// UpdateStatus records what the target reports about itself in a response: its load, whether
+	// it is leaving, for how long it asks to be sent nothing, and its limit.
 	UpdateStatus(now time.Time, a call.Answer)
-	// ResponseOverdue reports that the answer has not begun although one in time would have long ago.
+	// ResponseOverdue records that the response has not begun, long after the time that the
+	// route's objective allows.
 	ResponseOverdue()
-	// ResponseStarted reports that the answer has begun.
+	// ResponseStarted records that the response has begun.
 	ResponseStarted()
-	// ReportEventGap reports the time between two events of the answer, and of the longest
-	// that is in time; 0 for none.
-	ReportEventGap(pause, aim time.Duration)
-	// IsStraggler reports whether streams are to be moved from this target to others: it makes the
-	// steps of its group too long for all of them.
+	// ReportEventGap records the time between two events of the response. The aim is the longest
+	// gap that meets the route's objective; 0 if the route has none.
+	ReportEventGap(gap, aim time.Duration)
+	// IsStraggler reports whether streams are to be moved from this target to others, because it
+	// lengthens the steps of its group too much for all ranks of the group.
 	IsStraggler(now time.Time, tried []domain.InstanceID) bool
-	// Release gives the place back, with how the attempt spoke for the target.
+	// Release ends the use of the target, with the verdict of the attempt on it.
 	Release(v Verdict)
 }
 
@@ -75,96 +75,100 @@
 
 // The verdicts.
 const (
-	// Neutral reports nothing: the caller left, or the request itself was at fault.
+	// Neutral shows nothing: the caller left, or the request itself was at fault.
 	Neutral Verdict = iota
-	// Good: it served.
+	// Good: the target served the request.
 	Good
-	// Bad: it could be reached, and let the attempt down.
+	// Bad: the target was reached, and the attempt failed there.
 	Bad
-	// Full: it reported that it had no room.
+	// Full: the target reported that it has no capacity left.
 	Full
-	// Unreachable: no connection could be made.
+	// Unreachable: no connection to the target could be made.
 	Unreachable
-	// Replaced: another instance stands at the address.
+	// Replaced: another instance listens at the target's address.
 	Replaced
-	// ProcessEnded: its process ended during the attempt.
+	// ProcessEnded: the target's process ended during the attempt.
 	ProcessEnded
 )
 
 // Fleet chooses targets.
 type Fleet interface {
-	// Acquire gives a place at a target, or an error of the closed list that says
-	// why there is none. For targets that name a limit it may ask another box.
+	// Acquire leases a target for one attempt. If there is none it returns an error of package
+	// fault with the reason. For targets that have named a limit it may request a permit from
+	// another box.
 	Acquire(ctx context.Context, now time.Time, q Query) (Lease, error)
-	// AvailableAt is when a target of the service takes requests, as far as is known: now, if one
-	// does; zero if it is not known.
+	// AvailableAt returns when a target of the service accepts requests, as far as is known: now
+	// if one does already; zero if that is unknown.
 	AvailableAt(now time.Time, svc domain.ServiceName) time.Time
-	// ReportFault reports that a target, named by another, is at fault for a failure.
+	// ReportFault records that another target named this one as the cause of a failure.
 	ReportFault(id domain.ListedID)
 }
 
-// Quarantine knows which work is not to be sent to targets, as targets ended under it.
+// Quarantine holds the work that must not be sent to targets, because targets ended under it.
 type Quarantine interface {
-	// Barred tells until when the work is not to be sent, if it is not.
+	// Barred reports whether the work must not be sent now, and until when.
 	Barred(now time.Time, work call.Digest) (until time.Time, barred bool)
-	// TargetEnded takes that the target ended while it had the work.
+	// TargetEnded records that the target's process ended while it had the work.
 	TargetEnded(now time.Time, work call.Digest, id domain.InstanceID)
-	// WorkServed takes that the work was served.
+	// WorkServed records that the work was served.
 	WorkServed(now time.Time, work call.Digest)
 }
 
-// Dependencies is what a Gateway is made of.
+// Dependencies are the components that a Gateway uses.
 type Dependencies struct {
 	Common     telemetry.Common
 	Headers    HeaderCodec
 	Fleet      Fleet
 	Pool       *transport.Pool
 	Quarantine Quarantine
-	// Budget pays for further attempts of requests to a service.
+	// Budget returns the retry budget of a service.
 	Budget func(domain.ServiceName) retry.Purse
 }
 
 // Gateway serves callers. It is an http.Handler.
 type Gateway struct {
-	parts    Dependencies
-	catalog  atomic.Pointer[catalog.Catalog]
-	inFlight atomic.Int64
-	leaving  atomic.Pointer[time.Time] // when this box ends at the latest; nil while it stays
-	stays    *stays
-	draw     func() float64
+	deps          Dependencies
+	catalog       atomic.Pointer[catalog.Catalog]
+	inFlight      atomic.Int64
+	stopAt        atomic.Pointer[time.Time] // latest end of the planned stop; nil before BeginStop
+	responseTimes *responseTimes
+	random        func() float64 // uniform in [0, 1), chooses among the backends of a route
 }
 
 // New returns a gateway without a configuration.
-func New(p Dependencies) *Gateway { return &Gateway{parts: p, draw: rand.Float64, stays: newStays()} }
+func New(d Dependencies) *Gateway {
+	return &Gateway{deps: d, random: rand.Float64, responseTimes: newResponseTimes()}
+}
 
-// Configure puts a catalog in force for requests that come from now on.
+// Configure puts a catalog in force for requests that arrive from now on.
 func (g *Gateway) Configure(c *catalog.Catalog) { g.catalog.Store(c) }
 
-// Catalog is the catalog in force, or nil before the first.
+// Catalog returns the catalog in force, or nil before the first Configure.
 func (g *Gateway) Catalog() *catalog.Catalog { return g.catalog.Load() }
 
-// InFlight is how many requests are being served.
+// InFlight returns the number of requests being served.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// BeginStop makes every further answer notify its caller that the connection ends. What most
-// likely does not fit into the time until the end is not let in any more.
-func (g *Gateway) BeginStop(end time.Time) { g.leaving.Store(&end) }
+// BeginStop starts the planned stop of this box, which ends at the latest at the given time. From
+// now on each response tells its caller that the connection closes, and requests that are unlikely
+// to be answered before the end are refused.
+func (g *Gateway) BeginStop(end time.Time) { g.stopAt.Store(&end) }
 
-// Stopping reports whether Leave was called.
-func (g *Gateway) Stopping() bool { return g.leaving.Load() != nil }
+// Stopping reports whether BeginStop was called.
+func (g *Gateway) Stopping() bool { return g.stopAt.Load() != nil }
 
-// elsewhere is after how long a caller that was not let in comes back, to another box:
-// the time of a new connection.
-const elsewhere = 20 * time.Millisecond
+// otherBoxRetryDelay is the time after which a refused caller can retry at another box: the
+// time of a new connection.
+const otherBoxRetryDelay = 20 * time.Millisecond
 
-// fits refuses an order that this box would most likely have to cut off.
-func (g *Gateway) fits(now time.Time, o *order) error {
-	end := g.leaving.Load()
-	if end == nil || g.stays.fits(now, o.route.Name(), *end) {
+// checkTimeLeft refuses a request that a stopping box is unlikely to answer before its end.
+func (g *Gateway) checkTimeLeft(now time.Time, req *inboundRequest) error {
+	end := g.stopAt.Load()
+	if end == nil || g.responseTimes.fits(now, req.route.Name(), *end) {
 		return nil
 	}
-	return fault.New(fault.Stopping, "this box ends at %s, and answers of the route took longer lately", end.Format(time.TimeOnly)).
-		RetryAt(now.Add(elsewhere))
+	return fault.New(fault.Stopping, "this box stops at %s, and recent responses of the route took longer than the time left", end.Format(time.TimeOnly)).
+		RetryAt(now.Add(otherBoxRetryDelay))
 }
 
 // ServeHTTP implements http.Handler.
@@ -175,13 +179,13 @@
 		w.Header().Set("Connection", "close")
 	}
 	now := clock.Now()
-	c, err := g.intake(now, w, r)
+	req, err := g.intake(now, w, r)
 	if err == nil {
-		err = g.fits(now, c)
+		err = g.checkTimeLeft(now, req)
 	}
 	if err != nil {
-		g.refuse(w, c, err)
+		g.refuse(w, req, err)
 		return
 	}
-	g.serve(r.Context(), w, c)
+	g.serve(r.Context(), w, req)
 }
--- a/gateway/intake.go
+++ b/gateway/intake.go
@@ -13,71 +13,72 @@
 	"clovertrail.dev/core/fault"
 )
 
-// order is a request that was taken in.
-type order struct {
+// inboundRequest is a caller's request with its route, service and organisation. Fields after
+// the first check that failed are zero.
+type inboundRequest struct {
 	call.Request
 	http     *http.Request
 	arrived  time.Time
-	deadline time.Time // of the final answer
+	deadline time.Time // by which the whole response has to be sent
 	version  catalog.Version
 	route    catalog.Route
 	service  domain.ServiceName
 	org      catalog.Organisation
 	body     []byte
-	digest   call.Digest // empty until the body was read
+	digest   call.Digest // empty until the body has been read
 }
 
-// configuredWithin is after how long a caller comes back to a box that has no configuration yet: one
-// that has just started usually has it by then.
-const configuredWithin = time.Second
+// unconfiguredRetryDelay is the time after which a caller can retry at a box that has no
+// configuration yet. A box that has just started usually has one by then.
+const unconfiguredRetryDelay = time.Second
 
-// intake finds out what the request is and whether it may be served. The order is
-// never nil, so that a refusal can be logged with what is known.
-func (g *Gateway) intake(now time.Time, w http.ResponseWriter, r *http.Request) (*order, error) {
-	o := &order{http: r, arrived: now}
-	req, err := g.parts.Headers.ParseRequest(now, r)
+// intake parses and validates a request. The returned request is never nil, so that a refusal
+// can be logged with the fields known so far.
+func (g *Gateway) intake(now time.Time, w http.ResponseWriter, r *http.Request) (*inboundRequest, error) {
+	req := &inboundRequest{http: r, arrived: now}
+	parsed, err := g.deps.Headers.ParseRequest(now, r)
 	if err != nil {
-		return o, err
+		return req, err
 	}
-	o.Request = req
+	req.Request = parsed
 	c := g.Catalog()
 	if c == nil {
-		return o, fault.New(fault.NotInForce, "no configuration is known yet").RetryAt(now.Add(configuredWithin))
+		return req, fault.New(fault.NotInForce, "this box has not received a configuration yet").RetryAt(now.Add(unconfiguredRetryDelay))
 	}
-	if err := g.admit(o, c); err != nil {
-		return o, err
+	if err := g.authorize(req, c); err != nil {
+		return req, err
 	}
-	if o.body, err = readBody(w, r, c.Limits().BodyBytes); err != nil {
-		return o, err
+	if req.body, err = readBody(w, r, c.Limits().BodyBytes); err != nil {
+		return req, err
 	}
-	o.digest = call.DigestOf(o.org.Name, r.Method, r.URL.RequestURI(), o.body)
-	return o, nil
+	req.digest = call.DigestOf(req.org.Name, r.Method, r.URL.RequestURI(), req.body)
+	return req, nil
 }
 
-// admit finds the route and checks the key.
-func (g *Gateway) admit(o *order, c *catalog.Catalog) error {
-	o.version = c.Version()
-	route, ok := c.Match(o.Host(), o.Path())
+// authorize finds the route and the organisation of the request, and sets its service and deadline.
+func (g *Gateway) authorize(req *inboundRequest, c *catalog.Catalog) error {
+	req.version = c.Version()
+	route, ok := c.Match(req.Host(), req.Path())
 	if !ok {
-		return fault.New(fault.UnknownRoute, "no route for %s%s in configuration %d", o.Host(), o.Path(), c.Version())
+		return fault.New(fault.UnknownRoute, "no route for %s%s in configuration %d", req.Host(), req.Path(), c.Version())
 	}
-	o.route = route
-	o.org, ok = c.Organisation(o.Key())
+	req.route = route
+	req.org, ok = c.Organisation(req.Key())
 	if !ok && !route.Open() {
 		return fault.New(fault.Unauthenticated, "route %s: no organisation has the key in configuration %d", route.Name(), c.Version())
 	}
-	o.service = route.Backend(g.draw())
-	o.deadline = o.arrived.Add(route.Timeout())
-	if d := o.Deadline(); !d.IsZero() && d.Before(o.deadline) {
-		o.deadline = d
+	req.service = route.Backend(g.random())
+	req.deadline = req.arrived.Add(route.Timeout())
+	if d := req.Deadline(); !d.IsZero() && d.Before(req.deadline) {
+		req.deadline = d
 	}
 	return nil
 }
 
-// readBody reads the whole body: it may have to be sent more than once.
-func readBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, error) {
-	if r.ContentLength > most {
-		return nil, fault.New(fault.TooLarge, "%d bytes, %d are allowed", r.ContentLength, most)
+// readBody reads the whole body into memory, because further attempts send it again.
+func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, error) {
+	if r.ContentLength > maxBytes {
+		return nil, fault.New(fault.TooLarge, "request body of %d bytes exceeds the limit of %d", r.ContentLength, maxBytes)
 	}
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
@@ -86,13 +87,13 @@
 	if r.ContentLength > 0 {
 		b.Grow(int(r.ContentLength) + bytes.MinRead)
 	}
-	_, err := io.Copy(&b, http.MaxBytesReader(w, r.Body, most))
+	_, err := io.Copy(&b, http.MaxBytesReader(w, r.Body, maxBytes))
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		return nil, fault.New(fault.TooLarge, "more than the allowed %d bytes", most)
+		return nil, fault.New(fault.TooLarge, "request body exceeds the limit of %d bytes", maxBytes)
 	case err != nil:
-		return nil, fault.New(fault.BadRequest, "reading the body: %v", err)
+		return nil, fault.New(fault.BadRequest, "reading the request body: %v", err)
 	}
 	return b.Bytes(), nil
 }
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -9,45 +9,45 @@
 	"clovertrail.dev/telemetry"
 )
 
-// refused reports a request that was refused.
-func (g *Gateway) refused(o *order, err error) {
-	g.parts.Common.Metrics.Refused(fault.KindOf(err))
-	g.parts.Common.Log.Warn("request refused", "request", o.ID(), "digest", o.digest, "route", o.route.Name(), "service", o.service,
-		"organisation", o.org.Name, "config", o.version, "kind", fault.KindOf(err), "err", err, "after", clock.Since(o.arrived))
+// logRefused logs and counts a refused request.
+func (g *Gateway) logRefused(req *inboundRequest, err error) {
+	g.deps.Common.Metrics.Refused(fault.KindOf(err))
+	g.deps.Common.Log.Warn("request refused", "request", req.ID(), "digest", req.digest, "route", req.route.Name(), "service", req.service,
+		"organisation", req.org.Name, "config", req.version, "kind", fault.KindOf(err), "err", err, "after", clock.Since(req.arrived))
 }
 
-// attempted reports an attempt that was not the end of its request.
-func (g *Gateway) attempted(o *order, a *attempt, end retry.End, cmd retry.Command) {
+// logAttempt logs an attempt that did not end its request with a response, and counts a retry.
+func (g *Gateway) logAttempt(req *inboundRequest, a *attempt, end retry.End, cmd retry.Command) {
 	if _, ok := cmd.(retry.Deliver); ok {
 		return
 	}
 	if _, again := cmd.(retry.Try); again {
 		reasons := a.d.course.Reasons()
-		g.parts.Common.Metrics.Retried(reasons[len(reasons)-1])
+		g.deps.Common.Metrics.Retried(reasons[len(reasons)-1])
 	}
-	attrs := []any{"request", o.ID(), "digest", o.digest, "target", a.lease.Target().ID(), "attempt", a.try.Attempt,
-		"resume", a.try.Resume, "end", describe(end), "target_ended", a.gone,
-		"rest", a.rest(), "target_leaving", a.answer.Leaving, "next", describe(cmd), "after", clock.Since(o.arrived)}
-	g.parts.Common.Log.Warn("attempt failed", withLimit(attrs, a.answer.Limit)...)
+	attrs := []any{"request", req.ID(), "digest", req.digest, "target", a.lease.Target().ID(), "attempt", a.try.Attempt,
+		"resume", a.try.Resume, "end", describe(end), "target_ended", a.processEnded,
+		"rest", a.requestedRest(), "target_leaving", a.response.Leaving, "next", describe(cmd), "after", clock.Since(req.arrived)}
+	g.deps.Common.Log.Warn("attempt failed", withLimit(attrs, a.response.Limit)...)
 }
 
-// delivered reports a request that was answered.
-func (g *Gateway) delivered(o *order, d *delivery) {
-	g.stays.ended(clock.Now(), o.route.Name(), clock.Since(o.arrived))
-	m, kind := g.parts.Common.Metrics, o.route.Kind()
+// logDelivered logs a request that was answered, and records its times.
+func (g *Gateway) logDelivered(req *inboundRequest, d *delivery) {
+	g.responseTimes.record(clock.Now(), req.route.Name(), clock.Since(req.arrived))
+	m, kind := g.deps.Common.Metrics, req.route.Kind()
 	m.Count(telemetry.Answers, "ok", 1)
-	m.Observe(telemetry.FirstByte, kind.String(), d.first.Sub(o.arrived))
-	m.Observe(telemetry.Held, kind.String(), clock.Since(o.arrived))
+	m.Observe(telemetry.FirstByte, kind.String(), d.firstByteAt.Sub(req.arrived))
+	m.Observe(telemetry.Held, kind.String(), clock.Since(req.arrived))
 	if kind == catalog.Stream {
-		m.Observe(telemetry.Pause, "", d.pause)
+		m.Observe(telemetry.Pause, "", d.maxGap)
 	}
-	attrs := []any{"request", o.ID(), "digest", o.digest, "route", o.route.Name(), "organisation", o.org.Name,
-		"target", d.tried[len(d.tried)-1], "status", d.status, "attempts", d.course.Attempts(), "events", d.events, "pause", d.pause,
-		"first", d.first.Sub(o.arrived), "after", clock.Since(o.arrived)}
-	g.parts.Common.Log.Info("request answered", withLimit(attrs, d.limit)...)
+	attrs := []any{"request", req.ID(), "digest", req.digest, "route", req.route.Name(), "organisation", req.org.Name,
+		"target", d.tried[len(d.tried)-1], "status", d.status, "attempts", d.course.Attempts(), "events", d.events, "pause", d.maxGap,
+		"first", d.firstByteAt.Sub(req.arrived), "after", clock.Since(req.arrived)}
+	g.deps.Common.Log.Info("request answered", withLimit(attrs, d.limit)...)
 }
 
-// withLimit adds the limit that the target named, if it did.
+// withLimit appends the limit that the target named, if any.
 func withLimit(attrs []any, l call.Limit) []any {
 	if _, named := l.(call.Limited); named {
 		return append(attrs, "limit", l)
@@ -55,23 +55,23 @@
 	return attrs
 }
 
-// aborted reports an answer that was broken off.
-func (g *Gateway) aborted(o *order, d *delivery, err *fault.Error) {
-	g.parts.Common.Metrics.Count(telemetry.Answers, "broken", 1)
-	g.parts.Common.Log.Warn("answer broken off", "request", o.ID(), "digest", o.digest, "route", o.route.Name(), "service", o.service,
-		"attempts", d.course.Attempts(), "events", d.events, "kind", err.Kind(), "err", err, "after", clock.Since(o.arrived))
+// logAborted logs and counts a response that was aborted after a part of it had been sent.
+func (g *Gateway) logAborted(req *inboundRequest, d *delivery, err *fault.Error) {
+	g.deps.Common.Metrics.Count(telemetry.Answers, "broken", 1)
+	g.deps.Common.Log.Warn("answer broken off", "request", req.ID(), "digest", req.digest, "route", req.route.Name(), "service", req.service,
+		"attempts", d.course.Attempts(), "events", d.events, "kind", err.Kind(), "err", err, "after", clock.Since(req.arrived))
 }
 
-// left reports a caller whose connection ended before its answer: it did not wait, or
-// the time that this box had for its stop was over.
-func (g *Gateway) left(o *order, d *delivery) {
-	if end := g.leaving.Load(); end != nil && !clock.Now().Before(*end) {
-		g.parts.Common.Metrics.Count(telemetry.Answers, "cut by the stop", 1)
-		g.parts.Common.Log.Error("answer cut by the stop of this box", "request", o.ID(), "digest", o.digest, "route", o.route.Name(),
-			"attempts", d.course.Attempts(), "events", d.events, "after", clock.Since(o.arrived))
+// logCallerGone logs and counts a request whose connection ended before its response: the caller
+// did not wait, or the planned stop of this box ran out of time and closed the connection.
+func (g *Gateway) logCallerGone(req *inboundRequest, d *delivery) {
+	if end := g.stopAt.Load(); end != nil && !clock.Now().Before(*end) {
+		g.deps.Common.Metrics.Count(telemetry.Answers, "cut by the stop", 1)
+		g.deps.Common.Log.Error("planned stop timed out before the response was complete", "request", req.ID(), "digest", req.digest, "route", req.route.Name(),
+			"attempts", d.course.Attempts(), "events", d.events, "after", clock.Since(req.arrived))
 		return
 	}
-	g.parts.Common.Metrics.Refused(fault.Cancelled)
-	g.parts.Common.Log.Info("caller left", "request", o.ID(), "digest", o.digest, "route", o.route.Name(),
-		"attempts", d.course.Attempts(), "events", d.events, "after", clock.Since(o.arrived))
+	g.deps.Common.Metrics.Refused(fault.Cancelled)
+	g.deps.Common.Log.Info("caller left", "request", req.ID(), "digest", req.digest, "route", req.route.Name(),
+		"attempts", d.course.Attempts(), "events", d.events, "after", clock.Since(req.arrived))
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -9,57 +9,59 @@
 	"clovertrail.dev/retry"
 )
 
-// heldBytes is how much of an answer is read before any of it is passed on. An
-// answer that breaks off within it can be asked for again; it fits all but the
-// largest answers of plain services.
-const heldBytes = 64 << 10
+// maxBufferedBytes limits how much of a response is read before any of it is sent to the caller. A
+// response that breaks off within it can be requested again; it fits all but the largest
+// responses of plain services.
+const maxBufferedBytes = 64 << 10
 
-// answer is an answer that was read whole, or its beginning.
-type answer struct {
+// bufferedResponse is a response with its whole body, or with the beginning of its body.
+type bufferedResponse struct {
 	resp *http.Response
 	body []byte
 }
 
-// errShort reports that less came than was announced.
-var errShort = errors.New("the answer ended early")
+// errTruncated reports that a response ended before its announced end.
+var errTruncated = errors.New("the response was truncated")
 
-// plain reads the answer and passes it on once it is whole, or longer than is held.
-func (a *attempt) plain(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
-	body, whole, err := readHeld(resp)
+// forwardPlain reads the response and sends it to the caller once it is complete, or once more
+// than maxBufferedBytes have arrived.
+func (a *attempt) forwardPlain(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+	body, whole, err := readBuffered(resp)
 	if err != nil {
-		return a.broken(ctx, err, false)
+		return a.responseBroken(ctx, err, false)
 	}
-	a.began()
-	held := &answer{resp: resp, body: body}
+	a.responseStarted()
+	b := &bufferedResponse{resp: resp, body: body}
 	if whole {
-		held.pass(a.d)
+		b.send(a.d)
 		return retry.Answering{}, Good
 	}
-	held.passHead(a.d)
+	b.sendBuffered(a.d)
 	if _, err := io.Copy(a.d.w, resp.Body); err != nil {
-		return a.broken(ctx, err, true)
+		return a.responseBroken(ctx, err, true)
 	}
 	return retry.Answering{}, Good
 }
 
-// failed keeps the answer, which is passed on if there is no other attempt.
-func (a *attempt) failed(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
-	body, whole, err := readHeld(resp)
+// bufferFailure buffers a failure response, which is sent to the caller if there is no other
+// attempt.
+func (a *attempt) bufferFailure(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+	body, whole, err := readBuffered(resp)
 	if err != nil || !whole {
-		return a.broken(ctx, errors.Join(err, errShort), false)
+		return a.responseBroken(ctx, errors.Join(err, errTruncated), false)
 	}
-	a.d.held = &answer{resp: resp, body: body}
+	a.d.buffered = &bufferedResponse{resp: resp, body: body}
 	return retry.Failed{Status: resp.StatusCode}, Bad
 }
 
-// readHeld reads up to heldBytes, and reports whether that was all.
-func readHeld(resp *http.Response) (body []byte, whole bool, err error) {
-	size := int64(heldBytes)
+// readBuffered reads up to maxBufferedBytes, and reports whether that was the whole body.
+func readBuffered(resp *http.Response) (body []byte, whole bool, err error) {
+	size := int64(maxBufferedBytes)
 	if n := resp.ContentLength; n >= 0 && n < size {
 		size = n
 	}
 	body = make([]byte, 0, min(size, 4<<10)+1)
-	for len(body) < heldBytes {
+	for len(body) < maxBufferedBytes {
 		if len(body) == cap(body) {
 			body = append(body, 0)[:len(body)]
 		}
@@ -75,29 +77,30 @@
 	return body, false, nil
 }
 
-// pass writes a whole answer.
-func (x *answer) pass(d *delivery) {
-	if d.w.Header().Get("Content-Length") == "" && x.resp.ContentLength < 0 {
-		x.resp.Header.Del("Content-Length")
+// send writes a complete response.
+func (b *bufferedResponse) send(d *delivery) {
+	if d.w.Header().Get("Content-Length") == "" && b.resp.ContentLength < 0 {
+		b.resp.Header.Del("Content-Length")
 	}
-	x.passHead(d)
+	b.sendBuffered(d)
 }
 
-// passHead writes the head and what is held of the body.
-func (x *answer) passHead(d *delivery) {
-	answerHeaders(d.w.Header(), x.resp.Header)
-	d.begin(x.resp.StatusCode)
-	_, _ = d.w.Write(x.body) // a caller that is gone is noticed by its context
+// sendBuffered writes the head and the buffered part of the body.
+func (b *bufferedResponse) sendBuffered(d *delivery) {
+	copyResponseHeaders(d.w.Header(), b.resp.Header)
+	d.writeHead(b.resp.StatusCode)
+	_, _ = d.w.Write(b.body) // a caller that has left shows in its context
 }
 
-// broken ends an attempt whose answer broke off.
-func (a *attempt) broken(ctx context.Context, err error, passed bool) (retry.End, Verdict) {
-	if ctx.Err() != nil && !passed {
+// responseBroken returns the end and the verdict of an attempt whose response broke off. The
+// argument sent states whether the caller has received any of it.
+func (a *attempt) responseBroken(ctx context.Context, err error, sent bool) (retry.End, Verdict) {
+	if ctx.Err() != nil && !sent {
 		return retry.Expired{}, Neutral
 	}
 	v := Bad
 	if ctx.Err() != nil {
 		v = Neutral
 	}
-	return retry.Broken{Err: err, Passed: passed}, v
+	return retry.Broken{Err: err, Passed: sent}, v
 }
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -18,8 +18,8 @@
 	Ran    fault.Ran  `json:"ran"`
 }
 
-// refuse answers with the error's row of the table.
-func (g *Gateway) refuse(w http.ResponseWriter, o *order, err error) {
+// refuse answers with the status and the text of the error's kind (core/fault/table.go).
+func (g *Gateway) refuse(w http.ResponseWriter, req *inboundRequest, err error) {
 	kind := fault.KindOf(err)
 	a := kind.Answer()
 	h := w.Header()
@@ -27,14 +27,14 @@
 	if f := fault.Find(err); f != nil && a.Ran() == fault.RanNo && !f.When().IsZero() {
 		h.Set("Retry-After", seconds(clock.Until(f.When())))
 	}
-	raw, _ := json.Marshal(problem{Title: a.Text(), Status: a.Status(), Kind: kind, Ran: a.Ran()}) // plain fields
+	raw, _ := json.Marshal(problem{Title: a.Text(), Status: a.Status(), Kind: kind, Ran: a.Ran()}) // cannot fail: strings and an integer
 	h.Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(a.Status())
-	_, _ = w.Write(raw) // a caller that is gone needs no answer
-	g.refused(o, err)
+	_, _ = w.Write(raw) // an error means that the caller has left
+	g.logRefused(req, err)
 }
 
-// seconds writes a wait as the header wants it; the smallest is a millisecond.
+// seconds formats a time for the Retry-After header, in seconds and at least one millisecond.
 func seconds(d time.Duration) string {
 	return strconv.FormatFloat(max(d, time.Millisecond).Seconds(), 'f', 3, 64)
 }
--- /dev/null
+++ b/gateway/response_times.go
@@ -0,0 +1,46 @@
+package gateway
+
+import (
+	"sync"
+	"time"
+)
+
+// responseTimeRetention limits how long the longest response time of a route is remembered. It is
+// longer than streams last, and short enough that a slow period is forgotten once it is over.
+const responseTimeRetention = 10 * time.Second
+
+// responseTimes records the longest recent response time of each route. A stopping box accepts
+// only requests that fit into the time left before its stop. Usual response times would not do:
+// while a slow target lengthens the steps of its group, streams take longer than usual.
+//
+// Lock order: mu is the only lock.
+type responseTimes struct {
+	mu      sync.Mutex
+	longest map[string]responseTime // by route
+}
+
+// responseTime is the total time of one response, and when that response ended.
+type responseTime struct {
+	duration time.Duration
+	endedAt  time.Time
+}
+
+func newResponseTimes() *responseTimes {
+	return &responseTimes{longest: map[string]responseTime{}}
+}
+
+// record adds a response of the route that ended now.
+func (r *responseTimes) record(now time.Time, route string, duration time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if l := r.longest[route]; duration >= l.duration || now.Sub(l.endedAt) > responseTimeRetention {
+		r.longest[route] = responseTime{duration: duration, endedAt: now}
+	}
+}
+
+// fits reports whether a request to the route that starts now is likely to be answered by end.
+func (r *responseTimes) fits(now time.Time, route string, end time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return !now.Add(r.longest[route].duration).After(end)
+}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"time"
@@ -17,110 +18,110 @@
 	idField  = []byte("id:")
 )
 
-// mostEvent bounds one event of a stream; the largest are some hundred bytes.
-const mostEvent = 1 << 20
+// maxEventBytes limits the size of one event of a stream; the largest are some hundred bytes.
+const maxEventBytes = 1 << 20
 
-var errEvent = errors.New("an event is longer than allowed")
+var errEventTooLarge = fmt.Errorf("an event of the stream exceeds the limit of %d bytes", maxEventBytes)
 
-// stream passes on whole events as they come, so that one that breaks off never
-// reaches the caller, and remembers the last.
-func (a *attempt) stream(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+// forwardStream sends each event to the caller once it is complete, so that a partial event never
+// reaches the caller, and records the ID of the last event sent.
+func (a *attempt) forwardStream(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
 	d := a.d
 	flush := http.NewResponseController(d.w)
 	buf := make([]byte, 0, 1<<10)
 	for {
-		buf = room(buf)
+		buf = ensureCapacity(buf)
 		n, err := resp.Body.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
 		if end := bytes.LastIndex(buf, eventEnd); end >= 0 {
 			whole := buf[:end+len(eventEnd)]
-			a.passEvents(resp, whole)
+			a.forwardEvents(resp, whole)
 			if err := flush.Flush(); err != nil {
-				return a.broken(ctx, err, true)
+				return a.responseBroken(ctx, err, true)
 			}
 			buf = buf[:copy(buf, buf[len(whole):])]
-			if a.toMove(clock.Now()) {
+			if a.shouldMove(clock.Now()) {
 				return retry.Moved{}, Neutral
 			}
 		}
 		switch {
 		case errors.Is(err, io.EOF) && len(buf) == 0:
-			a.beginOnce(resp)
+			a.startCallerResponse(resp)
 			return retry.Answering{}, Good
 		case errors.Is(err, io.EOF):
-			return a.broken(ctx, errShort, d.began)
+			return a.responseBroken(ctx, errTruncated, d.headSent)
 		case err != nil:
-			return a.broken(ctx, err, d.began)
-		case len(buf) > mostEvent:
-			return a.broken(ctx, errEvent, d.began)
+			return a.responseBroken(ctx, err, d.headSent)
+		case len(buf) > maxEventBytes:
+			return a.responseBroken(ctx, errEventTooLarge, d.headSent)
 		}
 	}
 }
 
-// room makes sure that something can be read behind what is buffered.
-func room(buf []byte) []byte {
+// ensureCapacity returns the buffer with room for at least one more byte.
+func ensureCapacity(buf []byte) []byte {
 	if len(buf) < cap(buf) {
 		return buf
 	}
 	return append(buf, 0)[:len(buf)]
 }
 
-// passEvents writes whole events. The first of an order brings the head; an answer
-// that takes up another keeps the other's.
-func (a *attempt) passEvents(resp *http.Response, whole []byte) {
-	a.beginOnce(resp)
+// forwardEvents writes complete events. The first events of a request are preceded by the response
+// head; an attempt that resumes a stream keeps the head of the earlier attempt.
+func (a *attempt) forwardEvents(resp *http.Response, whole []byte) {
+	a.startCallerResponse(resp)
 	d := a.d
-	a.notePause(clock.Now())
-	d.noteEvents(clock.Now(), bytes.Count(whole, eventEnd))
+	a.recordGap(clock.Now())
+	d.recordEvents(clock.Now(), bytes.Count(whole, eventEnd))
 	if id := lastID(whole); id != nil {
 		d.after = string(id)
 	}
-	_, _ = d.w.Write(whole) // a caller that is gone is noticed when it is flushed
+	_, _ = d.w.Write(whole) // a caller that has left shows in the flush
 }
 
-// notePause reports the time since the attempt's last events.
-func (a *attempt) notePause(now time.Time) {
-	if !a.last.IsZero() {
-		a.pause = now.Sub(a.last)
-		a.lease.ReportEventGap(a.pause, a.d.o.route.GapAim())
+// recordGap reports the time since the last events of this attempt to the lease.
+func (a *attempt) recordGap(now time.Time) {
+	if !a.lastEventsAt.IsZero() {
+		a.gap = now.Sub(a.lastEventsAt)
+		a.lease.ReportEventGap(a.gap, a.d.req.route.GapAim())
 	}
-	a.last = now
+	a.lastEventsAt = now
 }
 
-// toMove reports whether the stream goes on at another target, which is paid for then:
-// its events come too late, and that is this target's fault.
-func (a *attempt) toMove(now time.Time) bool {
-	aim := a.d.o.route.GapAim()
-	return a.try.Movable && aim > 0 && a.pause > aim && a.lease.IsStraggler(now, a.d.tried) && a.d.purse.Take(now)
+// shouldMove reports whether the stream is to be resumed at another target, because its events come
+// too late and this target causes that. The budget is charged for the move.
+func (a *attempt) shouldMove(now time.Time) bool {
+	aim := a.d.req.route.GapAim()
+	return a.try.Movable && aim > 0 && a.gap > aim && a.lease.IsStraggler(now, a.d.tried) && a.d.budget.Take(now)
 }
 
-// noteEvents counts events that came now.
-func (d *delivery) noteEvents(now time.Time, n int) {
+// recordEvents counts n events that are sent to the caller now.
+func (d *delivery) recordEvents(now time.Time, n int) {
 	if d.events > 0 {
-		d.pause = max(d.pause, now.Sub(d.last))
+		d.maxGap = max(d.maxGap, now.Sub(d.lastEventsAt))
 	}
 	d.events += n
-	d.last = now
+	d.lastEventsAt = now
 }
 
-// beginOnce writes the head unless the caller has one already.
-func (a *attempt) beginOnce(resp *http.Response) {
-	a.began()
-	if a.d.began {
+// startCallerResponse writes the response head unless an earlier attempt has sent it already.
+func (a *attempt) startCallerResponse(resp *http.Response) {
+	a.responseStarted()
+	if a.d.headSent {
 		return
 	}
-	answerHeaders(a.d.w.Header(), resp.Header)
-	a.d.begin(resp.StatusCode)
+	copyResponseHeaders(a.d.w.Header(), resp.Header)
+	a.d.writeHead(resp.StatusCode)
 }
 
-// begin writes the head of the answer.
-func (d *delivery) begin(status int) {
-	d.began, d.status = true, status
-	d.first = clock.Now()
+// writeHead writes the head of the response to the caller.
+func (d *delivery) writeHead(status int) {
+	d.headSent, d.status = true, status
+	d.firstByteAt = clock.Now()
 	d.w.WriteHeader(status)
 }
 
-// lastID is the id of the last event that has one.
+// lastID returns the ID of the last of the events that have one; nil if none has.
 func lastID(events []byte) []byte {
 	at := bytes.LastIndex(events, append([]byte("\n"), idField...))
 	switch {
