--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -12,195 +12,196 @@
 )
 
 const (
-	// unspokenFor is how long a stopping Door waits for the first request on a connection
-	// that it had accepted: a few times the way from a caller and back, with its lost
-	// packets sent again once.
-	unspokenFor = time.Second
-	// lastLook is how long a connection that rests is read once more before it is closed.
-	// A process that was given no processor for a while finds requests that came meanwhile
-	// and the time to stop together; what has come is read at once.
-	lastLook = 50 * time.Millisecond
+	// firstRequestTimeout limits how long a stopping Listener waits for the first request on an
+	// accepted connection: a few round trips to a caller, with lost packets resent once.
+	firstRequestTimeout = time.Second
+	// finalReadTimeout limits the last read on an idle connection before it is closed. A process
+	// that was not scheduled for a while finds the stop and the requests that arrived meanwhile
+	// at once; what has arrived is read without waiting.
+	finalReadTimeout = 50 * time.Millisecond
 )
 
-// Listener lets callers in over HTTP. Unlike http.Server's own Shutdown, which drops a
-// request that was read on a connection accepted just before and closes connections that
-// rest whatever has come on them, its planned stop lets in no more connections and then
-// serves what those that are open still bring. Its handler must end each connection with
-// the answer from then on.
+// Listener accepts callers' connections over HTTP and drains them at a planned stop.
 //
-//	door := gateway.NewDoor(&http.Server{Handler: g})
-//	go door.Serve(listener)
-//	err := door.Stop(ctx)
+// http.Server's own Shutdown drops a request that was read on a connection accepted just
+// before, and closes idle connections whatever has arrived on them. The planned stop of a
+// Listener accepts no more connections and then serves the requests that still arrive on
+// those that are open. From then on its handler must close each connection with the response.
+//
+//	l := gateway.NewListener(&http.Server{Handler: g})
+//	go l.Serve(listener)
+//	err := l.Stop(ctx)
 type Listener struct {
-	server *http.Server
-	shut   chan struct{} // closed by Stop
-	served chan struct{} // closed once every accepted connection is known
-
-	mu    sync.Mutex
-	open  map[*doorConn]http.ConnState
-	empty chan struct{} // closed when Stop was called and none is open
-	once  sync.Once     // guards the closing of empty
+	server    *http.Server
+	stop      chan struct{} // closed by Stop
+	serveDone chan struct{} // closed when Serve returns; all accepted connections are tracked by then
+
+	mu        sync.Mutex
+	conns     map[*trackedConn]http.ConnState
+	drained   chan struct{} // closed once Serve has ended and no connection is open
+	drainOnce sync.Once     // guards the closing of drained
 }
 
-// NewListener returns a door for the server, whose ConnState it takes.
+// NewListener returns a Listener for the server. It sets the server's ConnState.
 func NewListener(s *http.Server) *Listener {
-	d := &Listener{
-		server: s, shut: make(chan struct{}), served: make(chan struct{}),
-		open: map[*doorConn]http.ConnState{}, empty: make(chan struct{}),
+	l := &Listener{
+		server: s, stop: make(chan struct{}), serveDone: make(chan struct{}),
+		conns: map[*trackedConn]http.ConnState{}, drained: make(chan struct{}),
 	}
-	s.ConnState = d.note
-	return d
+	s.ConnState = l.trackState
+	return l
 }
 
-// Serve accepts connections until Stop, for which it returns nil. It is called once.
-func (d *Listener) Serve(l net.Listener) error {
-	defer close(d.served)
+// Serve accepts connections until Stop, after which it returns nil. It must be called once.
+func (l *Listener) Serve(inner net.Listener) error {
+	defer close(l.serveDone)
 	go func() {
 		select {
-		case <-d.shut:
-			_ = l.Close() // it shows as the end of Serve
-		case <-d.served: // the listener ended by itself
+		case <-l.stop:
+			_ = inner.Close() // makes the server's Serve return
+		case <-l.serveDone: // the inner listener failed
 		}
 	}()
-	err := d.server.Serve(doorListener{l, d})
+	err := l.server.Serve(trackingListener{inner, l})
 	select {
-	case <-d.shut:
+	case <-l.stop:
 		return nil
 	default:
 		return err
 	}
 }
 
-// Stop lets in no more connections and returns once all are over. When ctx ends first
-// it closes those that are left and returns an error. It is called once.
-func (d *Listener) Stop(ctx context.Context) error {
-	close(d.shut)
-	<-d.served
-	d.lookAgain(http.StateIdle)
-	unspoken := time.AfterFunc(unspokenFor, func() { d.lookAgain(http.StateNew) })
-	defer unspoken.Stop()
-	d.check()
+// Stop accepts no more connections and returns once all connections are closed. If ctx ends
+// first it closes the remaining connections and returns an error. It must be called once.
+func (l *Listener) Stop(ctx context.Context) error {
+	close(l.stop)
+	<-l.serveDone
+	l.expireReads(http.StateIdle)
+	firstRequestTimer := time.AfterFunc(firstRequestTimeout, func() { l.expireReads(http.StateNew) })
+	defer firstRequestTimer.Stop()
+	l.signalIfDrained()
 	select {
-	case <-d.empty:
+	case <-l.drained:
 		return nil
 	case <-ctx.Done():
-		return errors.Join(ctx.Err(), d.server.Close())
+		return errors.Join(ctx.Err(), l.server.Close())
 	}
 }
 
-// note receives each connection's states.
-func (d *Listener) note(n net.Conn, s http.ConnState) {
-	c, ok := n.(*doorConn)
+// trackState records the state of a connection. The server calls it at each change.
+func (l *Listener) trackState(n net.Conn, s http.ConnState) {
+	c, ok := n.(*trackedConn)
 	if !ok {
-		return // it came by another listener
+		return // accepted by another listener of the server
 	}
 	if s == http.StateIdle {
-		c.heard.Store(false)
+		c.receivedSinceIdle.Store(false)
 	}
-	d.mu.Lock()
+	l.mu.Lock()
 	if s == http.StateClosed || s == http.StateHijacked {
-		delete(d.open, c)
+		delete(l.conns, c)
 	} else {
-		d.open[c] = s
+		l.conns[c] = s
 	}
-	d.mu.Unlock()
-	if s == http.StateActive && d.stopping() {
-		// A last look may have begun while the request was read: it must not end it.
-		_ = c.Conn.SetReadDeadline(time.Time{}) // where that fails, reading does too
+	l.mu.Unlock()
+	if s == http.StateActive && l.stopping() {
+		// A final read may have begun while the request was read; its deadline must not end
+		// the request.
+		_ = c.Conn.SetReadDeadline(time.Time{}) // where that fails, reading fails too
 	}
 	select {
-	case <-d.served:
-		d.check()
-	default: // more may come
+	case <-l.serveDone:
+		l.signalIfDrained()
+	default: // further connections may be accepted
 	}
 }
 
-// check notifies Stop if nothing is open.
-func (d *Listener) check() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.open) == 0 {
-		d.once.Do(func() { close(d.empty) })
+// signalIfDrained wakes Stop if no connection is open.
+func (l *Listener) signalIfDrained() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.conns) == 0 {
+		l.drainOnce.Do(func() { close(l.drained) })
 	}
 }
 
 // stopping reports whether Stop was called.
-func (d *Listener) stopping() bool {
+func (l *Listener) stopping() bool {
 	select {
-	case <-d.shut:
+	case <-l.stop:
 		return true
 	default:
 		return false
 	}
 }
 
-// lookAgain ends the waiting for a request on the connections in the state.
-func (d *Listener) lookAgain(in http.ConnState) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for c, s := range d.open {
-		if s == in {
-			_ = c.Conn.SetReadDeadline(time.Now()) // a connection that has ended needs none
+// expireReads lets the pending reads of all connections in the state time out now.
+func (l *Listener) expireReads(state http.ConnState) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c, s := range l.conns {
+		if s == state {
+			_ = c.Conn.SetReadDeadline(time.Now()) // fails only on a closed connection
 		}
 	}
 }
 
-// doorListener gives connections that look again.
-type doorListener struct {
+// trackingListener wraps the connections that it accepts in a trackedConn.
+type trackingListener struct {
 	net.Listener
-	door *Listener
+	owner *Listener
 }
 
 // Accept implements net.Listener.
-func (l doorListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+func (t trackingListener) Accept() (net.Conn, error) {
+	c, err := t.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &doorConn{Conn: c, door: l.door}, nil
+	return &trackedConn{Conn: c, owner: t.owner}, nil
 }
 
-// doorConn is a connection on which, once its door stops, the wait for a request ends
-// only after a last look at what has come.
-type doorConn struct {
+// trackedConn is a connection that, when its Listener stops, is read once more before the wait
+// for a request ends.
+type trackedConn struct {
 	net.Conn
-	door   *Listener
-	looked atomic.Bool // for the last time
-	heard  atomic.Bool // something has come since it rests
+	owner             *Listener
+	finalReadDone     atomic.Bool // the final read has begun
+	receivedSinceIdle atomic.Bool // bytes arrived since the connection became idle
 }
 
 // Read implements net.Conn.
-func (c *doorConn) Read(p []byte) (int, error) {
+func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.heard.Store(true)
+		c.receivedSinceIdle.Store(true)
 	}
-	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !c.door.stopping() || !c.door.waits(c) || c.looked.Swap(true) {
+	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !c.owner.stopping() || !c.owner.awaitsRequest(c) || c.finalReadDone.Swap(true) {
 		return n, err
 	}
-	if err := c.Conn.SetReadDeadline(time.Now().Add(lastLook)); err != nil {
+	if err := c.Conn.SetReadDeadline(time.Now().Add(finalReadTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
 }
 
-// SetReadDeadline implements net.Conn. The server calls it before it waits for another
-// request; once the door stops it waits for a moment only.
-func (c *doorConn) SetReadDeadline(t time.Time) error {
-	if c.door.stopping() && c.door.state(c) == http.StateIdle && !c.heard.Load() {
-		t = time.Now().Add(lastLook)
+// SetReadDeadline implements net.Conn. The server calls it before it waits for the next
+// request. While the Listener stops, that wait is limited to finalReadTimeout.
+func (c *trackedConn) SetReadDeadline(t time.Time) error {
+	if c.owner.stopping() && c.owner.state(c) == http.StateIdle && !c.receivedSinceIdle.Load() {
+		t = time.Now().Add(finalReadTimeout)
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// waits reports that no request has been read on the connection that is not answered.
-func (d *Listener) waits(c *doorConn) bool {
-	s := d.state(c)
+// awaitsRequest reports whether the connection has no request that was read and not answered.
+func (l *Listener) awaitsRequest(c *trackedConn) bool {
+	s := l.state(c)
 	return s == http.StateIdle || s == http.StateNew
 }
 
-func (d *Listener) state(c *doorConn) http.ConnState {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.open[c]
+func (l *Listener) state(c *trackedConn) http.ConnState {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.conns[c]
 }
