--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -23,10 +23,10 @@
 	"clovertrail.dev/transport"
 )
 
-// speech is a wire with plain names.
-type speech struct{}
+// testCodec is a HeaderCodec with short header names.
+type testCodec struct{}
 
-func (speech) ParseRequest(now time.Time, r *http.Request) (call.Request, error) {
+func (testCodec) ParseRequest(now time.Time, r *http.Request) (call.Request, error) {
 	f := call.Fields{ID: call.ID(r.Header.Get("Id")), Host: r.Host, Path: r.URL.Path, Key: r.Header.Get("Key"), After: r.Header.Get("After")}
 	if left, err := time.ParseDuration(r.Header.Get("Left")); err == nil {
 		f.Deadline = now.Add(left)
@@ -34,7 +34,7 @@
 	return call.NewRequest(f)
 }
 
-func (speech) WriteAttempt(_ time.Time, h http.Header, a call.Attempt) {
+func (testCodec) WriteAttempt(_ time.Time, h http.Header, a call.Attempt) {
 	h.Del("Key")
 	h.Set("Instance", string(a.Instance))
 	h.Set("Organisation", string(a.Organisation))
@@ -43,7 +43,7 @@
 	}
 }
 
-func (speech) ParseResponse(now time.Time, r *http.Response) call.Answer {
+func (testCodec) ParseResponse(now time.Time, r *http.Response) call.Answer {
 	a := call.Answer{
 		ID: call.ID(r.Header.Get("Id")), Status: r.StatusCode, Outcome: call.Served,
 		Leaving: r.Header.Get("Leaving") != "",
@@ -64,18 +64,18 @@
 	return a
 }
 
-// target is a stand-in that answers each request with the next text of its script,
-// and then closes the connection if the text does not end as a whole answer does.
+// target is a fake target that answers each request with the next response of its script, and then
+// closes the connection if that response does not end as a complete one does.
 type target struct {
 	name string
 	l    net.Listener
 
-	mu     sync.Mutex
-	script []string
-	drags  bool            // it makes the steps of its group too long
-	held   <-chan struct{} // what follows a wait in a text comes after a value of it
-	got    []*http.Request
-	bodies []string
+	mu        sync.Mutex
+	script    []string
+	straggler bool            // reported by IsStraggler
+	proceed   <-chan struct{} // releases the part of a response after wait
+	received  []*http.Request
+	bodies    []string
 }
 
 func newTarget(t *testing.T, name string, script ...string) *target {
@@ -98,18 +98,20 @@
 	return x
 }
 
-// lineFeed stands in a text for a line feed that is not the end of a line of HTTP.
+// lineFeed stands in a scripted response for a line feed that is not the end of an HTTP line.
 const lineFeed = "\x00"
 
-var wire = strings.NewReplacer("\n", "\r\n", lineFeed, "\n")
+var wireFormat = strings.NewReplacer("\n", "\r\n", lineFeed, "\n")
 
-// How a text may end: without another word on an open connection, or by closing it.
+// Markers in a scripted response.
 const (
-	hang   = "(hang)"
+	// hang stops sending and keeps the connection open.
+	hang = "(hang)"
+	// hangUp closes the connection.
 	hangUp = "(hang up)"
-	// crash ends the target with the connection.
+	// crash closes the connection and the listener of the target.
 	crash = "(crash)"
-	// wait stands before what comes late.
+	// wait delays the part after it.
 	wait = "(wait)"
 )
 
@@ -128,16 +130,16 @@
 		text, crashes := strings.CutSuffix(text, crash)
 		for i, part := range strings.Split(text, wait) {
 			if i > 0 {
-				<-x.held
+				<-x.proceed
 			}
-			_, _ = io.WriteString(c, wire.Replace(part))
+			_, _ = io.WriteString(c, wireFormat.Replace(part))
 		}
 		if hangs {
 			_, _ = io.Copy(io.Discard, c)
 			return
 		}
 		if crashes {
-			_ = x.l.Close() // nobody listens there any more
+			_ = x.l.Close() // further connections are refused
 			return
 		}
 		if ends || !strings.Contains(text, "Content-Length") && !strings.HasSuffix(text, "0\n\n") {
@@ -149,7 +151,7 @@
 func (x *target) next(r *http.Request, body string) string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.got = append(x.got, r)
+	x.received = append(x.received, r)
 	x.bodies = append(x.bodies, body)
 	if len(x.script) == 0 {
 		return ""
@@ -162,18 +164,18 @@
 func (x *target) requests() []*http.Request {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.got
+	return x.received
 }
 
-// fleet hands out targets in order, and notes what is said of them.
+// fleet leases targets in their order and records what the gateway reports about them.
 type fleet struct {
-	mu       sync.Mutex
-	targets  []*target
-	verdicts []string
-	heard    []string      // what targets reported about themselves
-	unwanted []string      // targets that want nothing more once they are chosen
-	takesAt  time.Time     // when a target takes requests
-	began    chan struct{} // gets a value when an answer has begun, while there is room
+	mu            sync.Mutex
+	targets       []*target
+	verdicts      []string
+	statusReports []string      // statuses that targets reported about themselves
+	unavailable   []string      // targets that must not be sent a request after they were chosen
+	availableAt   time.Time     // returned by AvailableAt
+	began         chan struct{} // receives a value when a response has begun, if its buffer has room
 }
 
 func (f *fleet) Acquire(_ context.Context, _ time.Time, q gateway.Query) (gateway.Lease, error) {
@@ -184,12 +186,12 @@
 			return &lease{f: f, x: x}, nil
 		}
 	}
-	return nil, fault.New(fault.NoTarget, "none is left").RetryAt(time.Now().Add(2 * time.Second))
+	return nil, fault.New(fault.NoTarget, "no target is left").RetryAt(time.Now().Add(2 * time.Second))
 }
 
 func (*fleet) ReportFault(domain.ListedID) {}
 
-func (f *fleet) AvailableAt(time.Time, domain.ServiceName) time.Time { return f.takesAt }
+func (f *fleet) AvailableAt(time.Time, domain.ServiceName) time.Time { return f.availableAt }
 
 type lease struct {
 	f *fleet
@@ -212,23 +214,23 @@
 func (l *lease) MaySend(time.Time) bool {
 	l.f.mu.Lock()
 	defer l.f.mu.Unlock()
-	return !slices.Contains(l.f.unwanted, l.x.name)
+	return !slices.Contains(l.f.unavailable, l.x.name)
 }
 
 func (l *lease) UpdateStatus(now time.Time, a call.Answer) {
 	l.f.mu.Lock()
 	defer l.f.mu.Unlock()
 	if a.Leaving {
-		l.f.heard = append(l.f.heard, l.x.name+" leaving")
+		l.f.statusReports = append(l.f.statusReports, l.x.name+" leaving")
 	}
 	if until := a.RestUntil(); !until.IsZero() {
-		l.f.heard = append(l.f.heard, l.x.name+" rests "+until.Sub(now).String())
+		l.f.statusReports = append(l.f.statusReports, l.x.name+" rests "+until.Sub(now).String())
 	}
 }
 
 func (l *lease) ResponseStarted() { signal(l.f.began) }
 
-// signal puts a value into the channel if there is room: else nobody waits for it.
+// signal sends a value if the channel has room; else no test waits for it.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -236,7 +238,7 @@
 	}
 }
 
-func (l *lease) IsStraggler(time.Time, []domain.InstanceID) bool { return l.x.drags }
+func (l *lease) IsStraggler(time.Time, []domain.InstanceID) bool { return l.x.straggler }
 
 func (*lease) ReportEventGap(time.Duration, time.Duration) {}
 
@@ -251,24 +253,24 @@
 	l.f.verdicts = append(l.f.verdicts, l.x.name+" "+names[v])
 }
 
-// purse pays for any number of retries.
-type purse struct{}
+// unlimitedBudget allows any number of retries.
+type unlimitedBudget struct{}
 
-func (purse) Request(time.Time)   {}
-func (purse) Take(time.Time) bool { return true }
+func (unlimitedBudget) Request(time.Time)   {}
+func (unlimitedBudget) Take(time.Time) bool { return true }
 
-// quarantine bars work under which so many targets ended, and notes what it is told.
+// quarantine bars work after a given number of targets ended, and records what the gateway reports.
 type quarantine struct {
-	mu     sync.Mutex
-	enough int // 0 for never
-	ended  []string
-	served int
+	mu       sync.Mutex
+	barAfter int // number of ended targets after which work is barred; 0 for never
+	ended    []string
+	served   int
 }
 
 func (q *quarantine) Barred(now time.Time, _ call.Digest) (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return now.Add(2 * time.Minute), q.enough > 0 && len(q.ended) >= q.enough
+	return now.Add(2 * time.Minute), q.barAfter > 0 && len(q.ended) >= q.barAfter
 }
 
 func (q *quarantine) TargetEnded(_ time.Time, _ call.Digest, id domain.InstanceID) {
@@ -283,8 +285,8 @@
 	q.served++
 }
 
-// rig is a gateway with routes of each kind before some targets.
-type rig struct {
+// fixture is a gateway with routes of each kind and some fake targets.
+type fixture struct {
 	t          *testing.T
 	g          *gateway.Gateway
 	fleet      *fleet
@@ -292,23 +294,23 @@
 	server     *httptest.Server
 }
 
-func newRig(t *testing.T, targets ...*target) *rig {
+func newFixture(t *testing.T, targets ...*target) *fixture {
 	t.Helper()
 	f := &fleet{targets: targets, began: make(chan struct{}, 1)}
 	q := &quarantine{}
 	g := gateway.New(gateway.Dependencies{
-		Common: telemetry.Quiet(), Headers: speech{}, Fleet: f, Quarantine: q,
+		Common: telemetry.Quiet(), Headers: testCodec{}, Fleet: f, Quarantine: q,
 		Pool:   transport.NewPool(transport.Dial(transport.Timing{Connect: time.Second, Unheard: time.Second}), transport.DefaultSettings()),
-		Budget: func(domain.ServiceName) retry.Purse { return purse{} },
+		Budget: func(domain.ServiceName) retry.Purse { return unlimitedBudget{} },
 	})
 	g.Configure(routes(t))
 	s := httptest.NewServer(g)
 	s.Config.ErrorLog = nil
 	t.Cleanup(s.Close)
-	return &rig{t: t, g: g, fleet: f, quarantine: q, server: s}
+	return &fixture{t: t, g: g, fleet: f, quarantine: q, server: s}
 }
 
-// routes has a route for each kind, and one with a short time-out.
+// routes returns a catalog with a route of each kind, one of them with a short timeout.
 func routes(t *testing.T) *catalog.Catalog {
 	t.Helper()
 	fields := []catalog.RouteFields{
@@ -340,17 +342,17 @@
 	return c
 }
 
-// answer is what a caller got.
-type answer struct {
+// callerResponse is the response as the caller received it.
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
-	broken bool // it did not end as a whole answer does
-	closes bool // the connection ends with it
+	broken bool // the response was not complete
+	closes bool // the connection is closed after the response
 }
 
-// send makes a request of a caller who waits until ctx ends.
-func (r *rig) send(ctx context.Context, path string) (*http.Response, error) {
+// send makes a request whose caller waits until ctx ends.
+func (r *fixture) send(ctx context.Context, path string) (*http.Response, error) {
 	r.t.Helper()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.server.URL+path, nil)
 	if err != nil {
@@ -361,8 +363,8 @@
 	return http.DefaultTransport.RoundTrip(req)
 }
 
-// ask makes a request with the header lines "Name: value".
-func (r *rig) ask(method, path, body string, headers ...string) answer {
+// request makes a request; each header is a line "Name: value".
+func (r *fixture) request(method, path, body string, headers ...string) callerResponse {
 	r.t.Helper()
 	req, err := http.NewRequest(method, r.server.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -376,9 +378,9 @@
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return answer{broken: true}
+		return callerResponse{broken: true}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(raw), broken: err != nil, closes: resp.Close}
+	return callerResponse{status: resp.StatusCode, header: resp.Header, body: string(raw), broken: err != nil, closes: resp.Close}
 }
--- a/gateway/listener_test.go
+++ b/gateway/listener_test.go
@@ -15,7 +15,7 @@
 	"clovertrail.dev/gateway"
 )
 
-// pipes is a listener whose connections are made in memory.
+// pipes is a net.Listener with in-memory connections.
 type pipes struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -46,8 +46,8 @@
 	return near
 }
 
-// askOn sends a request on the connection and gives the answer's body.
-func askOn(c net.Conn) (string, error) {
+// requestOn sends a request on the connection and returns the response body.
+func requestOn(c net.Conn) (string, error) {
 	req, _ := http.NewRequest(http.MethodGet, "http://box/", http.NoBody)
 	if err := req.Write(c); err != nil {
 		return "", err
@@ -60,8 +60,8 @@
 	return string(body), err
 }
 
-// doorRun is a door whose handler takes two seconds.
-func doorRun(t *testing.T, f func(p *pipes, d *gateway.Listener)) {
+// runListener runs f with a Listener whose handler takes two seconds.
+func runListener(t *testing.T, f func(p *pipes, l *gateway.Listener)) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(2 * time.Second)
@@ -69,76 +69,76 @@
 			_, _ = io.WriteString(w, "whole")
 		})
 		p := newPipes()
-		d := gateway.NewListener(&http.Server{Handler: slow, ReadHeaderTimeout: time.Minute})
+		l := gateway.NewListener(&http.Server{Handler: slow, ReadHeaderTimeout: time.Minute})
 		served := make(chan error, 1)
-		go func() { served <- d.Serve(p) }()
-		f(p, d)
+		go func() { served <- l.Serve(p) }()
+		f(p, l)
 		if err := <-served; err != nil {
-			t.Errorf("serving ended with %v", err)
+			t.Errorf("Serve returned %v", err)
 		}
 	})
 }
 
-func TestStopServesWhatWasAccepted(t *testing.T) {
+func TestStopServesRequestsOnAcceptedConnections(t *testing.T) {
 	tests := []struct {
-		name  string
-		sends time.Duration // after the connection was accepted; it stops after a second
+		name      string
+		sendAfter time.Duration // after the connection was accepted; Stop is called after one second
 	}{
-		{"a request under way", 500 * time.Millisecond},
-		{"a request on a connection accepted just before", 1100 * time.Millisecond},
+		{"request in flight", 500 * time.Millisecond},
+		{"request on a connection accepted just before", 1100 * time.Millisecond},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			doorRun(t, func(p *pipes, d *gateway.Listener) {
+			runListener(t, func(p *pipes, l *gateway.Listener) {
 				c := p.dial()
-				answer := make(chan string, 1)
+				response := make(chan string, 1)
 				go func() {
-					time.Sleep(tc.sends)
-					body, err := askOn(c)
+					time.Sleep(tc.sendAfter)
+					body, err := requestOn(c)
 					if err != nil {
 						t.Error(err)
 					}
-					answer <- body
+					response <- body
 				}()
 				time.Sleep(time.Second)
-				if err := d.Stop(context.Background()); err != nil {
+				if err := l.Stop(context.Background()); err != nil {
 					t.Error(err)
 				}
-				if got := <-answer; got != "whole" {
-					t.Errorf("the caller got %q", got)
+				if got := <-response; got != "whole" {
+					t.Errorf("the caller got body %q", got)
 				}
 			})
 		})
 	}
 }
 
-func TestStopServesWhatCameOnAConnectionThatRested(t *testing.T) {
+func TestStopServesRequestOnIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		whole := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Connection", "close")
 			_, _ = io.WriteString(w, "whole")
 		})
-		kept := true
-		d := gateway.NewListener(&http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if kept {
-				kept = false
+		first := true
+		l := gateway.NewListener(&http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if first {
+				first = false
 				_, _ = io.WriteString(w, "kept")
 				return
 			}
 			whole(w, r)
 		}), ReadHeaderTimeout: time.Minute})
 		p := newPipes()
-		go func() { _ = d.Serve(p) }()
+		go func() { _ = l.Serve(p) }()
 		c := p.dial()
-		if got, err := askOn(c); got != "kept" || err != nil {
+		if got, err := requestOn(c); got != "kept" || err != nil {
 			t.Fatal(got, err)
 		}
 		synctest.Wait()
 		stopped := make(chan error, 1)
-		go func() { stopped <- d.Stop(context.Background()) }()
-		synctest.Wait() // the connection is looked at for the last time
-		if got, err := askOn(c); got != "whole" || err != nil {
-			t.Errorf("the caller got %q, %v", got, err)
+		go func() { stopped <- l.Stop(context.Background()) }()
+		synctest.Wait() // until the final read of the idle connection is pending
+		if got, err := requestOn(c); got != "whole" || err != nil {
+			t.Errorf("the caller got body %q, error %v", got, err)
 		}
 		if err := <-stopped; err != nil {
 			t.Error(err)
@@ -146,36 +146,36 @@
 	})
 }
 
-func TestStopWaitsForNobodySilent(t *testing.T) {
-	doorRun(t, func(p *pipes, d *gateway.Listener) {
-		silent, rests := p.dial(), p.dial()
-		if _, err := askOn(rests); err != nil {
+func TestStopClosesSilentConnections(t *testing.T) {
+	runListener(t, func(p *pipes, l *gateway.Listener) {
+		silent, idle := p.dial(), p.dial()
+		if _, err := requestOn(idle); err != nil {
 			t.Fatal(err)
 		}
 		began := time.Now()
-		if err := d.Stop(context.Background()); err != nil {
+		if err := l.Stop(context.Background()); err != nil {
 			t.Error(err)
 		}
 		if took := time.Since(began); took > 2*time.Second {
-			t.Errorf("it took %v", took)
+			t.Errorf("Stop took %v", took)
 		}
-		for _, c := range []net.Conn{silent, rests} {
+		for _, c := range []net.Conn{silent, idle} {
 			if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-				t.Errorf("a connection ended with %v", err)
+				t.Errorf("reading a connection returned %v, want EOF", err)
 			}
 		}
 	})
 }
 
-func TestStopEndsAtTheLatestWhenTold(t *testing.T) {
-	doorRun(t, func(p *pipes, d *gateway.Listener) {
-		go func() { _, _ = askOn(p.dial()) }() // it is cut off
+func TestStopEndsAtContextDeadline(t *testing.T) {
+	runListener(t, func(p *pipes, l *gateway.Listener) {
+		go func() { _, _ = requestOn(p.dial()) }() // its connection is closed by Stop
 		time.Sleep(time.Second)
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 		defer cancel()
-		if err := d.Stop(ctx); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("it ended with %v", err)
+		if err := l.Stop(ctx); !errors.Is(err, context.DeadlineExceeded) {
+			t.Errorf("Stop returned %v", err)
 		}
-		time.Sleep(2 * time.Second) // for the handler to end
+		time.Sleep(2 * time.Second) // lets the handler end
 	})
 }
