--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -181,7 +181,7 @@
 	now := clock.Now()
 	a.response = a.d.g.deps.Headers.ParseResponse(now, resp)
 	if a.response.Outcome != call.Elsewhere && a.response.Outcome != call.Foreign {
-		a.lease.UpdateStatus(now, a.response) // the target did not send the two other kinds
+		a.lease.UpdateStatus(now, a.response) // responses of the two other kinds did not come from the target
 	}
 	if id := a.response.AtFault; id != "" && id != a.lease.Target().ID().Listed() {
 		a.d.g.deps.Fleet.ReportFault(id)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -64,7 +64,7 @@
 	// gap that meets the route's objective; 0 if the route has none.
 	ReportEventGap(gap, aim time.Duration)
 	// IsStraggler reports whether streams are to be moved from this target to others, because it
-	// lengthens the steps of its group too much for all ranks of the group.
+	// lengthens the steps of its whole group too much.
 	IsStraggler(now time.Time, tried []domain.InstanceID) bool
 	// Release ends the use of the target, with the verdict of the attempt on it.
 	Release(v Verdict)
--- a/gateway/response_times.go
+++ b/gateway/response_times.go
@@ -10,8 +10,8 @@
 const responseTimeRetention = 10 * time.Second
 
 // responseTimes records the longest recent response time of each route. A stopping box accepts
-// only requests that fit into the time left before its stop. Usual response times would not do:
-// while a slow target lengthens the steps of its group, streams take longer than usual.
+// only requests that fit into the time left before its stop. The longest recent response is used
+// because streams take longer than usual while a slow target lengthens the steps of its group.
 //
 // Lock order: mu is the only lock.
 type responseTimes struct {
