--- a/node/entry.go
+++ b/node/entry.go
@@ -62,8 +62,8 @@
 		func() { e.peering.notify() },
 		func() bool { return e.peering.isolated(clock.Now()) },
 		func() store.Era { return e.timeline.latest().Era() })
-	e.gateway = gateway.New(gateway.Parts{
-		Common: c, Speech: platform.Speech{}, Fleet: e.fleet, Pool: e.pool, Purse: e.budgets.purse,
+	e.gateway = gateway.New(gateway.Dependencies{
+		Common: c, Headers: platform.Speech{}, Fleet: e.fleet, Pool: e.pool, Budget: e.budgets.purse,
 		Quarantine: e.quarantine,
 	})
 	e.peering = newPeering(e)
@@ -152,10 +152,10 @@
 }
 
 // listen opens what callers and the platform ask. The door takes callers.
-func (e *Entry) listen(failed chan<- error) (*gateway.Door, error) {
+func (e *Entry) listen(failed chan<- error) (*gateway.Listener, error) {
 	s := process.NewServers(e.network, failed)
 	limits := catalog.DefaultLimits()
-	door := gateway.NewDoor(&http.Server{
+	door := gateway.NewListener(&http.Server{
 		Handler: e.gateway, MaxHeaderBytes: limits.HeaderBytes,
 		ReadHeaderTimeout: limits.Header, IdleTimeout: limits.Idle,
 	})
