--- a/node/entry.go
+++ b/node/entry.go
@@ -119,7 +119,7 @@
 	go e.peering.run(ctx)
 	e.common.Log.Info("started", "hall", e.settings().Hall, "callers", e.settings().Callers, "peers", e.settings().Peers, "store", e.settings().Store)
 	kept := completing{
-		Shelf:    platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.stated),
+		RecordStore:    platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.stated),
 		timeline: e.timeline,
 	}
 	e.follow(ctx, kept)
--- a/node/quarantining.go
+++ b/node/quarantining.go
@@ -161,7 +161,7 @@
 
 // run reads what the store keeps, and keeps there what this box finds out, until ctx ends. As
 // the whole system starts for the first time there is nothing to read.
-func (q *quarantining) run(ctx context.Context, s store.Shelf, first bool) {
+func (q *quarantining) run(ctx context.Context, s store.RecordStore, first bool) {
 	loaded := first
 	look := time.NewTicker(lookEvery)
 	defer look.Stop()
@@ -213,7 +213,7 @@
 
 // load takes what the store keeps, and reports whether it answered. What is over there is taken
 // away: nothing else does.
-func (q *quarantining) load(ctx context.Context, s store.Shelf) bool {
+func (q *quarantining) load(ctx context.Context, s store.RecordStore) bool {
 	l, err := s.List(ctx, platform.Quarantines)
 	q.called("list", err)
 	if err != nil {
@@ -250,7 +250,7 @@
 }
 
 // keepAll keeps the records that wait, until the store fails.
-func (q *quarantining) keepAll(ctx context.Context, s store.Shelf) {
+func (q *quarantining) keepAll(ctx context.Context, s store.RecordStore) {
 	for next, ok := q.next(); ok; next, ok = q.next() {
 		spec, err := json.Marshal(next)
 		if err == nil {
--- a/node/timeline.go
+++ b/node/timeline.go
@@ -61,14 +61,14 @@
 
 // completing is the store with complete positions in its answers.
 type completing struct {
-	store.Shelf
+	store.RecordStore
 	timeline *timeline
 }
 
 // List implements store.Feed.
 func (c completing) List(ctx context.Context, kind store.Kind) (store.Listing, error) {
 	sent := c.timeline.latest()
-	l, err := c.Shelf.List(ctx, kind)
+	l, err := c.RecordStore.List(ctx, kind)
 	if err != nil {
 		return l, err
 	}
@@ -82,7 +82,7 @@
 
 // Watch implements store.Feed.
 func (c completing) Watch(ctx context.Context, kind store.Kind, since store.Position, wait time.Duration) (store.Changes, error) {
-	changes, err := c.Shelf.Watch(ctx, kind, since, wait)
+	changes, err := c.RecordStore.Watch(ctx, kind, since, wait)
 	if err != nil {
 		return changes, err
 	}
--- a/store/feed.go
+++ b/store/feed.go
@@ -89,9 +89,9 @@
 	Watch(ctx context.Context, kind Kind, since Position, wait time.Duration) (Changes, error)
 }
 
-// Shelf keeps records of the system's own kinds. A call without an answer may have been done,
+// RecordStore keeps records of the system's own kinds. A call without an answer may have been done,
 // or may be done later; it may be made again.
-type Shelf interface {
+type RecordStore interface {
 	Feed
 	// Create keeps a record that is not there yet; ErrExists if one of the name is.
 	Create(ctx context.Context, kind Kind, name string, spec []byte) error
