--- a/node/quarantining.go
+++ b/node/quarantining.go
@@ -62,7 +62,7 @@
 func (q *quarantining) Barred(now time.Time, d call.Digest) (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.register.Barred(now, d)
+	return q.register.QuarantinedUntil(now, d)
 }
 
 // Ended implements gateway.Quarantine.
@@ -78,29 +78,29 @@
 // take takes a report from the source, logs what it changes, and sees to it that others are notified.
 func (q *quarantining) take(now time.Time, w quarantine.Observation, source string) {
 	q.mu.Lock()
-	change := q.register.Take(now, w)
+	change := q.register.Observe(now, w)
 	q.note(now, w, change, source)
-	barred := change == quarantine.Barred
+	barred := change == quarantine.Quarantined
 	if barred && source == sourceOwn {
 		q.keep(w.Digest)
 	}
 	q.mu.Unlock()
-	if barred || source == sourceOwn && change != quarantine.Nothing {
+	if barred || source == sourceOwn && change != quarantine.Unchanged {
 		q.news()
 	}
 }
 
 // note logs and counts what an observation changed; mu is held.
 func (q *quarantining) note(now time.Time, w quarantine.Observation, change quarantine.Change, source string) {
-	attrs := []any{"digest", w.Digest, "target", w.Target, "ended", q.register.Ended(w.Digest), "age", now.Sub(w.At), "source", source}
+	attrs := []any{"digest", w.Digest, "target", w.Target, "ended", q.register.EndedTargets(w.Digest), "age", now.Sub(w.At), "source", source}
 	switch change {
-	case quarantine.Nothing:
-	case quarantine.News:
+	case quarantine.Unchanged:
+	case quarantine.Updated:
 		if w.Target != "" {
 			q.common.Log.Warn("target ended under work", attrs...)
 		}
-	case quarantine.Barred:
-		until, _ := q.register.Barred(now, w.Digest)
+	case quarantine.Quarantined:
+		until, _ := q.register.QuarantinedUntil(now, w.Digest)
 		q.common.Metrics.Count(telemetry.Quarantines, sourceKind(source), 1)
 		q.common.Log.Warn("work in quarantine", append(attrs, "left", until.Sub(now))...)
 	case quarantine.Released:
@@ -152,11 +152,11 @@
 
 // record is what the store is to keep of the work; mu is held.
 func (q *quarantining) record(d call.Digest) quarantine.Record {
-	observations := q.register.Of(d)
+	observations := q.register.Observations(d)
 	for i := range observations {
 		observations[i].At = clock.TimeOfDay(observations[i].At)
 	}
-	return quarantine.RecordOf(observations)
+	return quarantine.NewRecord(observations)
 }
 
 // run reads what the store keeps, and keeps there what this box finds out, until ctx ends. As
@@ -188,7 +188,7 @@
 	if !q.rewriter.Due(now) {
 		return false
 	}
-	if len(q.register.Kept(now)) == 0 {
+	if len(q.register.ToPersist(now)) == 0 {
 		q.rewriter.Compared()
 		return false
 	}
@@ -203,7 +203,7 @@
 		return
 	}
 	q.rewriter.Compared()
-	for _, d := range q.register.Kept(now) {
+	for _, d := range q.register.ToPersist(now) {
 		if !names[q.record(d).Name()] {
 			q.common.Log.Warn("quarantine lost by the store, writing it again", "digest", d)
 			q.keep(d)
@@ -227,7 +227,7 @@
 			q.common.Log.Error("quarantine record rejected", "record", r.Name, "at", r.At, "err", err)
 			continue
 		}
-		if kept.Over(day) {
+		if kept.Expired(day) {
 			q.called("remove", s.Remove(ctx, platform.Quarantines, r.Name))
 			continue
 		}
--- a/quarantine/fuzz_test.go
+++ b/quarantine/fuzz_test.go
@@ -25,11 +25,11 @@
 			if w.At.After(begin) {
 				t.Errorf("%q: a target ended in the future", raw)
 			}
-			reg.Take(begin, w)
+			reg.Observe(begin, w)
 		}
-		if until, barred := reg.Barred(begin, observations[0].Digest); barred && until.Sub(begin) > 48*time.Hour {
+		if until, barred := reg.QuarantinedUntil(begin, observations[0].Digest); barred && until.Sub(begin) > 48*time.Hour {
 			t.Errorf("%q: barred until %v", raw, until)
 		}
-		_ = r.Over(begin)
+		_ = r.Expired(begin)
 	})
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -19,8 +19,8 @@
 	Ended map[domain.InstanceID]int64 `json:"ended"`
 }
 
-// RecordOf is the record of what a Register knows of a work, at times of day.
-func RecordOf(of []Observation) Record {
+// NewRecord is the record of what a Register knows of a work, at times of day.
+func NewRecord(of []Observation) Record {
 	r := Record{f: recordFields{Ended: map[domain.InstanceID]int64{}}}
 	for _, w := range of {
 		r.f.Digest = w.Digest
@@ -43,9 +43,9 @@
 	return list
 }
 
-// Over reports that the quarantine, and the time for which it is remembered, have passed at the
+// Expired reports that the quarantine, and the time for which it is remembered, have passed at the
 // time of day.
-func (r Record) Over(day time.Time) bool {
+func (r Record) Expired(day time.Time) bool {
 	var last int64
 	for _, ms := range r.f.Ended {
 		last = max(last, ms)
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -53,12 +53,12 @@
 
 // The changes.
 const (
-	// Nothing: it was known, or does not matter any more.
-	Nothing Change = iota
-	// News: other boxes are to learn of it.
-	News
-	// Barred: the work is in quarantine now, or for longer.
-	Barred
+	// Unchanged: it was known, or does not matter any more.
+	Unchanged Change = iota
+	// Updated: other boxes are to learn of it.
+	Updated
+	// Quarantined: the work is in quarantine now, or for longer.
+	Quarantined
 	// Released: the work was served, and is not in quarantine any more.
 	Released
 )
@@ -82,8 +82,8 @@
 	return &Register{works: map[call.Digest]*work{}, served: recent{at: map[call.Digest]time.Time{}}}
 }
 
-// Take takes an observation of this box, of another or of the store.
-func (r *Register) Take(now time.Time, w Observation) Change {
+// Observe takes an observation of this box, of another or of the store.
+func (r *Register) Observe(now time.Time, w Observation) Change {
 	if w.Target == "" {
 		return r.cleared(now, w)
 	}
@@ -94,13 +94,13 @@
 		r.forget(now)
 	}
 	if _, counted := x.ended[w.Target]; counted || !w.At.After(x.served) {
-		return Nothing
+		return Unchanged
 	}
 	x.ended[w.Target], x.learnt = w.At, now
 	if now.Before(x.until()) {
-		return Barred
+		return Quarantined
 	}
-	return News
+	return Updated
 }
 
 // cleared takes that the work was served: it does not crash its targets.
@@ -109,9 +109,9 @@
 	switch {
 	case !known:
 		r.served.add(w.Digest, w.At)
-		return Nothing
+		return Unchanged
 	case !w.At.After(x.served):
-		return Nothing
+		return Unchanged
 	}
 	barred := now.Before(x.until())
 	x.served, x.learnt = w.At, now
@@ -123,19 +123,19 @@
 	if barred && !now.Before(x.until()) {
 		return Released
 	}
-	return News
+	return Updated
 }
 
-// Ended is how many targets are known to have ended under the work.
-func (r *Register) Ended(d call.Digest) int {
+// EndedTargets is how many targets are known to have ended under the work.
+func (r *Register) EndedTargets(d call.Digest) int {
 	if x, known := r.works[d]; known {
 		return len(x.ended)
 	}
 	return 0
 }
 
-// Barred reports whether the work is in quarantine, and until when.
-func (r *Register) Barred(now time.Time, d call.Digest) (until time.Time, barred bool) {
+// QuarantinedUntil reports whether the work is in quarantine, and until when.
+func (r *Register) QuarantinedUntil(now time.Time, d call.Digest) (until time.Time, barred bool) {
 	x, known := r.works[d]
 	if !known {
 		return time.Time{}, false
@@ -144,8 +144,8 @@
 	return until, now.Before(until)
 }
 
-// Of is all that is known of targets that ended under the work, oldest first.
-func (r *Register) Of(d call.Digest) []Observation {
+// Observations is all that is known of targets that ended under the work, oldest first.
+func (r *Register) Observations(d call.Digest) []Observation {
 	x, known := r.works[d]
 	if !known {
 		return nil
@@ -158,9 +158,9 @@
 	return list
 }
 
-// Kept are the works that the store is to keep, sorted: those in quarantine, and those whose
+// ToPersist are the works that the store is to keep, sorted: those in quarantine, and those whose
 // quarantine is over and still counts for the next one.
-func (r *Register) Kept(now time.Time) []call.Digest {
+func (r *Register) ToPersist(now time.Time) []call.Digest {
 	var list []call.Digest
 	for d, x := range r.works {
 		if until := x.until(); !until.IsZero() && now.Sub(until) <= rememberFor {
@@ -180,7 +180,7 @@
 		if barred := now.Before(x.until()); !fresh && (!all || !barred) {
 			continue
 		}
-		list = append(list, r.Of(d)...)
+		list = append(list, r.Observations(d)...)
 		if fresh && !x.served.IsZero() {
 			list = append(list, Observation{Digest: d, At: x.served})
 		}
--- a/quarantine/register_test.go
+++ b/quarantine/register_test.go
@@ -34,7 +34,7 @@
 // taking gives the register the observations, each as it happens.
 func taking(r *quarantine.Register, observations ...quarantine.Observation) *quarantine.Register {
 	for _, w := range observations {
-		r.Take(w.At, w)
+		r.Observe(w.At, w)
 	}
 	return r
 }
@@ -68,7 +68,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := taking(quarantine.NewRegister(), tc.observations...)
-			until, barred := r.Barred(begin.Add(tc.at), fatal)
+			until, barred := r.QuarantinedUntil(begin.Add(tc.at), fatal)
 			if barred != (tc.want > 0) {
 				t.Fatalf("barred %v, until %v", barred, until.Sub(begin))
 			}
@@ -86,16 +86,16 @@
 		word quarantine.Observation
 		want quarantine.Change
 	}{
-		{served(0), quarantine.Nothing},
-		{ended(fatal, "a", 2*time.Minute), quarantine.News},
-		{ended(fatal, "a", 2*time.Minute), quarantine.Nothing},
-		{ended(fatal, "b", 2*time.Minute), quarantine.Barred},
-		{ended(fatal, "c", 2*time.Minute), quarantine.Barred},
+		{served(0), quarantine.Unchanged},
+		{ended(fatal, "a", 2*time.Minute), quarantine.Updated},
+		{ended(fatal, "a", 2*time.Minute), quarantine.Unchanged},
+		{ended(fatal, "b", 2*time.Minute), quarantine.Quarantined},
+		{ended(fatal, "c", 2*time.Minute), quarantine.Quarantined},
 		{served(3 * time.Minute), quarantine.Released},
-		{served(3 * time.Minute), quarantine.Nothing},
-		{ended(fatal, "d", time.Minute), quarantine.Nothing},
+		{served(3 * time.Minute), quarantine.Unchanged},
+		{ended(fatal, "d", time.Minute), quarantine.Unchanged},
 	} {
-		if got := r.Take(tc.word.At, tc.word); got != tc.want {
+		if got := r.Observe(tc.word.At, tc.word); got != tc.want {
 			t.Errorf("word %d changed %d, want %d", i, got, tc.want)
 		}
 	}
@@ -125,12 +125,12 @@
 		now := begin.Add(time.Minute)
 		for range 2 {
 			for _, i := range rnd.Perm(len(kept)) {
-				other.Take(now, kept[i])
+				other.Observe(now, kept[i])
 			}
 		}
 		for _, d := range []call.Digest{"x", "y"} {
-			a, aBarred := one.Barred(now, d)
-			b, bBarred := other.Barred(now, d)
+			a, aBarred := one.QuarantinedUntil(now, d)
+			b, bBarred := other.QuarantinedUntil(now, d)
 			if !a.Equal(b) || aBarred != bBarred {
 				rt.Fatalf("%s: until %v, %v against %v, %v", d, a, aBarred, b, bBarred)
 			}
@@ -145,9 +145,9 @@
 	now := begin.Add(time.Minute)
 	late := taking(quarantine.NewRegister())
 	for _, w := range r.Latest(now, true) {
-		late.Take(now, w)
+		late.Observe(now, w)
 	}
-	if _, barred := late.Barred(now, fatal); !barred {
+	if _, barred := late.QuarantinedUntil(now, fatal); !barred {
 		t.Error("a box that was cut off does not know of the quarantine")
 	}
 	if n := len(r.Latest(now, true)); n != 2 {
@@ -160,7 +160,7 @@
 		t.Errorf("%d observations are told while all is new", n)
 	}
 	for i := range 100 {
-		r.Take(now, ended(call.Digest(fmt.Sprint("hit ", i)), "c", time.Minute))
+		r.Observe(now, ended(call.Digest(fmt.Sprint("hit ", i)), "c", time.Minute))
 	}
 	if n := len(r.Latest(now, true)); n != 40 {
 		t.Errorf("%d observations in a message", n)
@@ -174,16 +174,16 @@
 	const most = 1024
 	for i := range 3 * most {
 		at := time.Duration(i) * time.Millisecond
-		r.Take(begin.Add(at), ended(call.Digest(fmt.Sprint("hit ", i)), "c", at))
+		r.Observe(begin.Add(at), ended(call.Digest(fmt.Sprint("hit ", i)), "c", at))
 	}
 	known := 0
 	for i := range 3 * most {
-		known += r.Ended(call.Digest(fmt.Sprint("hit ", i)))
+		known += r.EndedTargets(call.Digest(fmt.Sprint("hit ", i)))
 	}
 	if known > most {
 		t.Errorf("%d works are remembered", known)
 	}
-	if _, barred := r.Barred(begin.Add(time.Minute), fatal); !barred {
+	if _, barred := r.QuarantinedUntil(begin.Add(time.Minute), fatal); !barred {
 		t.Error("the quarantine was forgotten")
 	}
 }
@@ -192,7 +192,7 @@
 // nothing, until it is over.
 func TestARecordBringsAQuarantineBack(t *testing.T) {
 	r := taking(quarantine.NewRegister(), ended(fatal, "a@7", 0), ended(fatal, "b", time.Second))
-	raw, err := json.Marshal(quarantine.RecordOf(r.Of(fatal)))
+	raw, err := json.Marshal(quarantine.NewRecord(r.Observations(fatal)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -203,13 +203,13 @@
 	now := begin.Add(time.Minute)
 	other := quarantine.NewRegister()
 	for _, w := range back.Observations(now, now) {
-		other.Take(now, w)
+		other.Observe(now, w)
 	}
-	until, barred := other.Barred(now, fatal)
-	if want, _ := r.Barred(now, fatal); !barred || !until.Equal(want) {
+	until, barred := other.QuarantinedUntil(now, fatal)
+	if want, _ := r.QuarantinedUntil(now, fatal); !barred || !until.Equal(want) {
 		t.Errorf("barred %v until %v, want %v", barred, until, want)
 	}
-	if back.Over(begin.Add(time.Hour)) || !back.Over(begin.Add(2*time.Hour)) {
+	if back.Expired(begin.Add(time.Hour)) || !back.Expired(begin.Add(2*time.Hour)) {
 		t.Error("the record is over too early, or never")
 	}
 	for _, bad := range []string{"", "{}", `{"digest":"x"}`, `{"digest":"","ended":{"a":1}}`, `{"digest":"x","ended":[]}`} {
--- a/quarantine/rewriter_test.go
+++ b/quarantine/rewriter_test.go
@@ -53,12 +53,12 @@
 		after time.Duration
 		want  int
 	}{{time.Second, 1}, {30 * time.Minute, 1}, {2 * time.Hour, 0}} {
-		if got := r.Kept(begin.Add(tc.after)); len(got) != tc.want {
+		if got := r.ToPersist(begin.Add(tc.after)); len(got) != tc.want {
 			t.Errorf("after %v: %v", tc.after, got)
 		}
 	}
 	taking(r, served(2*time.Second))
-	if got := r.Kept(begin.Add(3 * time.Second)); len(got) != 0 {
+	if got := r.ToPersist(begin.Add(3 * time.Second)); len(got) != 0 {
 		t.Errorf("released and kept: %v", got)
 	}
 }
