--- a/node/quarantining.go
+++ b/node/quarantining.go
@@ -31,7 +31,7 @@
 
 	mu       sync.Mutex
 	register *quarantine.Register
-	rewriter *quarantine.Rewriter
+	rewriter *quarantine.Reconciler
 	unkept   []quarantine.Record // that this box is to keep in the store
 	wake     chan struct{}
 }
@@ -54,7 +54,7 @@
 func newQuarantining(c telemetry.Common, news func(), apart func() bool, era func() store.Era) *quarantining {
 	return &quarantining{
 		common: c, news: news, apart: apart, era: era, register: quarantine.NewRegister(),
-		rewriter: quarantine.NewRewriter(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), wake: make(chan struct{}, 1),
+		rewriter: quarantine.NewReconciler(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), wake: make(chan struct{}, 1),
 	}
 }
 
@@ -184,12 +184,12 @@
 	now, era := clock.Now(), q.era()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.rewriter.Learned(now, era)
+	q.rewriter.ObserveEra(now, era)
 	if !q.rewriter.Due(now) {
 		return false
 	}
 	if len(q.register.ToPersist(now)) == 0 {
-		q.rewriter.Compared()
+		q.rewriter.MarkCompared()
 		return false
 	}
 	return true
@@ -202,7 +202,7 @@
 	if !q.rewriter.Due(now) {
 		return
 	}
-	q.rewriter.Compared()
+	q.rewriter.MarkCompared()
 	for _, d := range q.register.ToPersist(now) {
 		if !names[q.record(d).Name()] {
 			q.common.Log.Warn("quarantine lost by the store, writing it again", "digest", d)
--- a/quarantine/rewriter.go
+++ b/quarantine/reconciler.go
@@ -11,19 +11,19 @@
 // so that the first one has written that again before most of the others look.
 const rewriteWithin = 5 * time.Second
 
-// Rewriter decides when a box compares what the store keeps with what it knows itself, as the
+// Reconciler decides when a box compares what the store keeps with what it knows itself, as the
 // store was restored from a copy and has lost records. It is not safe for concurrent use.
-type Rewriter struct {
+type Reconciler struct {
 	rand  *rand.Rand
 	era   store.Era
 	dueAt time.Time // zero if nothing is to be compared
 }
 
-// NewRewriter returns the rewriter of a box that knows no era.
-func NewRewriter(rnd *rand.Rand) *Rewriter { return &Rewriter{rand: rnd} }
+// NewReconciler returns the rewriter of a box that knows no era.
+func NewReconciler(rnd *rand.Rand) *Reconciler { return &Reconciler{rand: rnd} }
 
-// Learned takes the latest era of the store that the box has learned of.
-func (w *Rewriter) Learned(now time.Time, era store.Era) {
+// ObserveEra takes the latest era of the store that the box has learned of.
+func (w *Reconciler) ObserveEra(now time.Time, era store.Era) {
 	if era <= w.era {
 		return
 	}
@@ -34,7 +34,7 @@
 }
 
 // Due reports whether the box is to list what the store keeps now.
-func (w *Rewriter) Due(now time.Time) bool { return !w.dueAt.IsZero() && !now.Before(w.dueAt) }
+func (w *Reconciler) Due(now time.Time) bool { return !w.dueAt.IsZero() && !now.Before(w.dueAt) }
 
-// Compared records that what the store keeps was listed, and what is missing is being written.
-func (w *Rewriter) Compared() { w.dueAt = time.Time{} }
+// MarkCompared records that what the store keeps was listed, and what is missing is being written.
+func (w *Reconciler) MarkCompared() { w.dueAt = time.Time{} }
--- a/quarantine/rewriter_test.go
+++ b/quarantine/reconciler_test.go
@@ -14,14 +14,14 @@
 	const boxes, within, most = 150, 5 * time.Second, 50
 	perSecond := map[int]int{}
 	for i := range boxes {
-		w := quarantine.NewRewriter(rand.New(rand.NewPCG(uint64(i), 1)))
-		w.Learned(begin, 4)
+		w := quarantine.NewReconciler(rand.New(rand.NewPCG(uint64(i), 1)))
+		w.ObserveEra(begin, 4)
 		if w.Due(begin.Add(time.Hour)) {
 			t.Fatal("compares with the first era that it learns of")
 		}
-		w.Learned(begin, 5)
-		w.Learned(begin.Add(time.Second), 5)
-		w.Learned(begin.Add(time.Second), 4)
+		w.ObserveEra(begin, 5)
+		w.ObserveEra(begin.Add(time.Second), 5)
+		w.ObserveEra(begin.Add(time.Second), 4)
 		due := time.Duration(0)
 		for !w.Due(begin.Add(due)) && due <= within {
 			due += 10 * time.Millisecond
@@ -30,11 +30,11 @@
 			t.Fatalf("box %d does not compare within %v", i, within)
 		}
 		perSecond[int(due/time.Second)]++
-		w.Compared()
+		w.MarkCompared()
 		if w.Due(begin.Add(time.Hour)) {
 			t.Fatal("compares twice")
 		}
-		w.Learned(begin.Add(time.Hour), 6)
+		w.ObserveEra(begin.Add(time.Hour), 6)
 		if !w.Due(begin.Add(time.Hour + within)) {
 			t.Fatal("does not compare after the next restore")
 		}
