--- a/node/timeline.go
+++ b/node/timeline.go
@@ -75,7 +75,7 @@
 	if l.At.Era() > c.timeline.latest().Era() {
 		return store.Listing{}, errEraDoubted
 	}
-	l = l.Complete(sent)
+	l = l.InferEra(sent)
 	c.timeline.observe(l.At, "store")
 	return l, nil
 }
@@ -89,7 +89,7 @@
 	if changes.At.Era() > c.timeline.latest().Era() {
 		return store.Changes{}, errEraDoubted
 	}
-	changes = changes.Complete(since)
+	changes = changes.InferEra(since)
 	c.timeline.observe(changes.At, "store")
 	return changes, nil
 }
--- a/store/position_test.go
+++ b/store/position_test.go
@@ -71,12 +71,12 @@
 		{"a later era is stated", store.PositionOf(7, 9), store.PositionOf(7, 9)},
 	}
 	for _, tc := range tests {
-		l := store.Listing{At: tc.answered, Records: []store.Record{{Name: "a", At: store.PositionOf(tc.answered.Era(), 5)}}}.Complete(sent)
+		l := store.Listing{At: tc.answered, Records: []store.Record{{Name: "a", At: store.PositionOf(tc.answered.Era(), 5)}}}.InferEra(sent)
 		if want := store.PositionOf(tc.want.Era(), 5); l.At != tc.want || l.Records[0].At != want {
 			t.Errorf("%s: listed at %v, record at %v", tc.name, l.At, l.Records[0].At)
 		}
 	}
-	c := store.Changes{At: store.PositionOf(0, 62), Events: []store.Event{{Record: store.Record{Name: "a", At: store.PositionOf(0, 61)}}}}.Complete(sent)
+	c := store.Changes{At: store.PositionOf(0, 62), Events: []store.Event{{Record: store.Record{Name: "a", At: store.PositionOf(0, 61)}}}}.InferEra(sent)
 	if c.At != store.PositionOf(4, 62) || c.Events[0].Record.At != store.PositionOf(4, 61) {
 		t.Errorf("changes: %+v", c)
 	}
--- a/store/timeline.go
+++ b/store/timeline.go
@@ -29,10 +29,10 @@
 	return false
 }
 
-// Complete returns the listing with the era that it does not state, as an answer to a call made
+// InferEra returns the listing with the era that it does not state, as an answer to a call made
 // when the position sent was known. The store was at least at that position then, so the era is
 // not an earlier one; and it is a later one if the revision went back.
-func (l Listing) Complete(sent Position) Listing {
+func (l Listing) InferEra(sent Position) Listing {
 	if l.At.Era() > 0 {
 		return l
 	}
@@ -49,9 +49,9 @@
 	return l
 }
 
-// Complete returns the changes with the era that they do not state, as those after the position
+// InferEra returns the changes with the era that they do not state, as those after the position
 // since. What they hold does not show whether the era is a later one.
-func (c Changes) Complete(since Position) Changes {
+func (c Changes) InferEra(since Position) Changes {
 	if c.At.Era() > 0 {
 		return c
 	}
