--- a/node/following.go
+++ b/node/following.go
@@ -22,7 +22,7 @@
 	common    telemetry.Common
 	feed      store.Feed
 	kind      store.Kind
-	pace      follow.Pace
+	pace      follow.Timing
 	follower  *follow.Follower
 	listed    func(store.Listing)
 	changed   func(store.Changes)
@@ -57,14 +57,14 @@
 
 // pace fits the bounds: a watch that was silently lost while the store was in
 // trouble is noticed before the bounds hold again.
-func pace(b process.Bounds) follow.Pace {
-	return follow.Pace{
+func pace(b process.Bounds) follow.Timing {
+	return follow.Timing{
 		Wait:       b.Contact.Std() / waitShare,
-		MostWait:   mostWait,
-		FirstPause: storePause,
-		MostPause:  min(storePauseMost, b.ConfigApply.Std()/pauseShare),
-		Settle:     membership.SettleFor + settleSlack,
-		Gather:     b.Drain.Std() / gatherShare, // the rest is for telling targets' leaving on
+		MaxWait:   mostWait,
+		MinBackoff: storePause,
+		MaxBackoff:  min(storePauseMost, b.ConfigApply.Std()/pauseShare),
+		RelistDelay:     membership.SettleFor + settleSlack,
+		ChangePause:     b.Drain.Std() / gatherShare, // the rest is for telling targets' leaving on
 	}
 }
 
@@ -81,7 +81,7 @@
 			f.list(ctx)
 		case follow.Watch:
 			f.watch(ctx, c)
-		case follow.Rest:
+		case follow.Sleep:
 			clock.SleepUntil(ctx, c.Until)
 		}
 	}
@@ -131,7 +131,7 @@
 		case <-look.C:
 		}
 		boxes, _ := f.among()
-		if clock.Since(began) > f.pace.WaitAmong(boxes)+checkEvery {
+		if clock.Since(began) > f.pace.WaitFor(boxes)+checkEvery {
 			cancel()
 			return
 		}
@@ -224,11 +224,11 @@
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	p := pace(e.settings().Bounds)
 	if e.settings().FirstStart {
-		p.First = firstPause
+		p.MaxStartDelay = firstPause
 	}
 	if kind == platform.Configurations {
-		p.Gather = 0 // it seldom changes, and is to be in force at once
-		p.Settle = 0 // its version orders it
+		p.ChangePause = 0 // it seldom changes, and is to be in force at once
+		p.RelistDelay = 0 // its version orders it
 	}
 	return &following{
 		pace:   p,
--- a/store/follow/follower.go
+++ b/store/follow/follower.go
@@ -8,25 +8,25 @@
 	"clovertrail.dev/store"
 )
 
-// Pace holds the times of a Follower.
-type Pace struct {
+// Timing holds the times of a Follower.
+type Timing struct {
 	// Wait is how long a watch of a box that is alone waits for a change. A watch that
 	// the store has silently dropped goes unnoticed for so long.
 	Wait time.Duration
-	// MostWait bounds the wait of a box among many.
-	MostWait time.Duration
-	// FirstPause is the pause after a first failure; each further one doubles it, up
-	// to MostPause. Each pause is spread by half of itself either way.
-	FirstPause, MostPause time.Duration
-	// First bounds the pause of a box that starts before it lists, drawn by chance: where
+	// MaxWait bounds the wait of a box among many.
+	MaxWait time.Duration
+	// MinBackoff is the pause after a first failure; each further one doubles it, up
+	// to MaxBackoff. Each pause is spread by half of itself either way.
+	MinBackoff, MaxBackoff time.Duration
+	// MaxStartDelay bounds the pause of a box that starts before it lists, drawn by chance: where
 	// others tell it meanwhile what they know, it need not ask the store at all.
-	First time.Duration
-	// Settle is how long after the store was restored the kind is listed once more: what the
+	MaxStartDelay time.Duration
+	// RelistDelay is how long after the store was restored the kind is listed once more: what the
 	// copy had and nobody wrote again has lapsed by then. Zero for never.
-	Settle time.Duration
-	// Gather is the pause after a watch that brought changes: more of them often follow,
+	RelistDelay time.Duration
+	// ChangePause is the pause after a watch that brought changes: more of them often follow,
 	// and each would end the watches of all boxes.
-	Gather time.Duration
+	ChangePause time.Duration
 }
 
 // Command is what the owner of a Follower does next. The set is closed: List,
@@ -42,16 +42,16 @@
 	Wait  time.Duration
 }
 
-// Rest asks to do nothing until the time.
-type Rest struct{ Until time.Time }
+// Sleep asks to do nothing until the time.
+type Sleep struct{ Until time.Time }
 
 func (List) command()  {}
 func (Watch) command() {}
-func (Rest) command()  {}
+func (Sleep) command()  {}
 
 // Follower is the machine. It is not safe for concurrent use.
 type Follower struct {
-	pace      Pace
+	pace      Timing
 	rand      *rand.Rand
 	boxes     int  // that notify each other what they learn, this one included
 	place     int  // of this one among them
@@ -74,7 +74,7 @@
 }
 
 // New returns a follower that has seen nothing.
-func New(p Pace, rnd *rand.Rand) *Follower { return &Follower{pace: p, rand: rnd, boxes: 1} }
+func New(p Timing, rnd *rand.Rand) *Follower { return &Follower{pace: p, rand: rnd, boxes: 1} }
 
 // At is the position up to which the kind is known.
 func (f *Follower) At() store.Position { return f.at }
@@ -89,7 +89,7 @@
 func (f *Follower) Next(now time.Time) Command {
 	if !f.begun {
 		f.begun = true
-		if first := now.Add(f.chance(f.pace.First)); first.After(f.restTo) {
+		if first := now.Add(f.chance(f.pace.MaxStartDelay)); first.After(f.restTo) {
 			f.restTo = first
 		}
 	}
@@ -97,9 +97,9 @@
 	case !f.settleAt.IsZero() && !now.Before(f.settleAt) && !now.Before(f.restTo):
 		return List{}
 	case f.delegated:
-		return Rest{Until: now.Add(delegatedCheck)}
+		return Sleep{Until: now.Add(delegatedCheck)}
 	case now.Before(f.restTo):
-		return Rest{Until: f.restTo}
+		return Sleep{Until: f.restTo}
 	case !f.listed:
 		return List{}
 	default:
@@ -145,18 +145,18 @@
 // since some of the boxes may be cut off from the others.
 const sharers = 4
 
-// WaitAmong is how long a watch of one of so many boxes waits at the most. It grows
+// WaitFor is how long a watch of one of so many boxes waits at the most. It grows
 // with their number, so that all together ask the store equally often however many they
 // are: one of them notices a dropped watch and notifies the others.
-func (p Pace) WaitAmong(boxes int) time.Duration {
+func (p Timing) WaitFor(boxes int) time.Duration {
 	w := p.Wait * time.Duration(boxes) / sharers
-	return min(max(w, p.Wait), max(p.MostWait, p.Wait))
+	return min(max(w, p.Wait), max(p.MaxWait, p.Wait))
 }
 
 // wait spreads the ends of the watches of many boxes evenly. A change ends all of them
 // at once, so the first wait after it is for as long as the box's place says.
 func (f *Follower) wait() time.Duration {
-	w := f.pace.WaitAmong(f.boxes)
+	w := f.pace.WaitFor(f.boxes)
 	step := w / time.Duration(f.boxes)
 	chance := time.Duration(f.rand.Int64N(int64(step)/2 + 1))
 	if f.spread && f.boxes > sharers {
@@ -250,7 +250,7 @@
 // Changed records that the watch that ended brought changes.
 func (f *Follower) Changed(now time.Time) {
 	f.spread = true
-	f.restTo = now.Add(f.pace.Gather)
+	f.restTo = now.Add(f.pace.ChangePause)
 }
 
 // CaughtUp records that peers gave all that the store held at the position; zero if none did. It
@@ -264,8 +264,8 @@
 
 // advance takes that the kind is known up to the position.
 func (f *Follower) advance(now time.Time, at store.Position) {
-	if !f.at.IsZero() && at.Era() > f.at.Era() && f.pace.Settle > 0 {
-		f.settleAt = now.Add(f.pace.Settle)
+	if !f.at.IsZero() && at.Era() > f.at.Era() && f.pace.RelistDelay > 0 {
+		f.settleAt = now.Add(f.pace.RelistDelay)
 	}
 	f.at = store.Later(f.at, at)
 }
@@ -285,7 +285,7 @@
 // pause rests before the next call, longer after each failure.
 func (f *Follower) pause(now time.Time) {
 	f.spread = true
-	pause := min(f.pace.FirstPause<<min(f.failures, 16), f.pace.MostPause)
+	pause := min(f.pace.MinBackoff<<min(f.failures, 16), f.pace.MaxBackoff)
 	f.failures++
 	f.restTo = now.Add(pause/2 + time.Duration(f.rand.Int64N(int64(pause)+1)))
 }
--- a/store/follow/follower_test.go
+++ b/store/follow/follower_test.go
@@ -13,9 +13,9 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-var pace = follow.Pace{
-	Wait: 1500 * time.Millisecond, MostWait: 20 * time.Second,
-	FirstPause: 100 * time.Millisecond, MostPause: 500 * time.Millisecond,
+var pace = follow.Timing{
+	Wait: 1500 * time.Millisecond, MaxWait: 20 * time.Second,
+	MinBackoff: 100 * time.Millisecond, MaxBackoff: 500 * time.Millisecond,
 }
 
 func newFollower() *follow.Follower { return follow.New(pace, rand.New(rand.NewPCG(1, 2))) }
@@ -55,11 +55,11 @@
 	now := start
 	for i := range 12 {
 		f.Watched(now, store.Position{}, store.ErrUnavailable)
-		r, ok := f.Next(now).(follow.Rest)
+		r, ok := f.Next(now).(follow.Sleep)
 		if !ok {
 			t.Fatalf("failure %d: %+v", i, f.Next(now))
 		}
-		usual := min(pace.FirstPause<<i, pace.MostPause)
+		usual := min(pace.MinBackoff<<i, pace.MaxBackoff)
 		if d := r.Until.Sub(now); d < usual/2 || d > usual*3/2 {
 			t.Errorf("failure %d: a pause of %v, want about %v", i, d, usual)
 		}
@@ -76,7 +76,7 @@
 		t.Error("a success does not end the trouble")
 	}
 	f.Watched(now, store.Position{}, errors.New("again"))
-	if d := f.Next(now).(follow.Rest).Until.Sub(now); d > pace.FirstPause*3/2 {
+	if d := f.Next(now).(follow.Sleep).Until.Sub(now); d > pace.MinBackoff*3/2 {
 		t.Errorf("the first pause after a success is %v", d)
 	}
 }
@@ -104,7 +104,7 @@
 				now = now.Add(c.Wait)
 				f.Watched(now, pos(2), nil)
 				ends = append(ends, now.Sub(start))
-			case follow.Rest:
+			case follow.Sleep:
 				now = c.Until
 			}
 		}
@@ -128,8 +128,8 @@
 	f := newFollower()
 	f.Listed(start, pos(1), nil)
 	f.Among(1000, 999)
-	if w := f.Next(start).(follow.Watch); w.Wait > pace.MostWait {
-		t.Errorf("waits %v, the most is %v", w.Wait, pace.MostWait)
+	if w := f.Next(start).(follow.Watch); w.Wait > pace.MaxWait {
+		t.Errorf("waits %v, the most is %v", w.Wait, pace.MaxWait)
 	}
 }
 
@@ -153,15 +153,15 @@
 // TestChangesInQuickSuccessionAreGathered: each change would end the watches of all.
 func TestChangesInQuickSuccessionAreGathered(t *testing.T) {
 	p := pace
-	p.Gather = 250 * time.Millisecond
+	p.ChangePause = 250 * time.Millisecond
 	f := follow.New(p, rand.New(rand.NewPCG(1, 2)))
 	f.Listed(start, pos(1), nil)
 	f.Watched(start, pos(2), nil)
 	f.Changed(start)
-	if r, ok := f.Next(start).(follow.Rest); !ok || !r.Until.Equal(start.Add(p.Gather)) {
+	if r, ok := f.Next(start).(follow.Sleep); !ok || !r.Until.Equal(start.Add(p.ChangePause)) {
 		t.Errorf("after a change: %+v", f.Next(start))
 	}
-	if _, ok := f.Next(start.Add(p.Gather)).(follow.Watch); !ok {
+	if _, ok := f.Next(start.Add(p.ChangePause)).(follow.Watch); !ok {
 		t.Error("does not watch again")
 	}
 }
@@ -170,14 +170,14 @@
 // what the store holds before its first pause is over, and later is told no more.
 func TestABoxThatIsToldDoesNotAskTheStore(t *testing.T) {
 	p := pace
-	p.First = time.Second
+	p.MaxStartDelay = time.Second
 	f := follow.New(p, rand.New(rand.NewPCG(3, 4)))
-	if _, ok := f.Next(start).(follow.Rest); !ok {
+	if _, ok := f.Next(start).(follow.Sleep); !ok {
 		t.Fatalf("at its start it does %v", f.Next(start))
 	}
 	f.CaughtUp(start, pos(7))
 	f.Delegate(true)
-	if c, ok := f.Next(start.Add(time.Minute)).(follow.Rest); !ok || c.Until.Sub(start) > time.Minute+time.Second {
+	if c, ok := f.Next(start.Add(time.Minute)).(follow.Sleep); !ok || c.Until.Sub(start) > time.Minute+time.Second {
 		t.Errorf("while it is told it does %v", f.Next(start.Add(time.Minute)))
 	}
 	f.CaughtUp(start, pos(9))
@@ -190,7 +190,7 @@
 // TestABoxThatIsNotToldListsAfterItsFirstPause: it may be the only one.
 func TestABoxThatIsNotToldListsAfterItsFirstPause(t *testing.T) {
 	p := pace
-	p.First = time.Second
+	p.MaxStartDelay = time.Second
 	f := follow.New(p, rand.New(rand.NewPCG(3, 4)))
 	f.Next(start)
 	f.CaughtUp(start, store.Position{})
@@ -299,7 +299,7 @@
 			f.Listed(now, pos(40), nil)
 		case follow.Watch:
 			f.Watched(now, store.Position{}, store.ErrHistoryLost)
-		case follow.Rest:
+		case follow.Sleep:
 			now = c.Until
 			continue
 		}
@@ -315,7 +315,7 @@
 // again, and that stay as they were taken at the restore.
 func TestAfterARestoreTheKindIsListedOnceMore(t *testing.T) {
 	settling := pace
-	settling.Settle = 5 * time.Second
+	settling.RelistDelay = 5 * time.Second
 	for _, told := range []bool{false, true} {
 		f := follow.New(settling, rand.New(rand.NewPCG(1, 2)))
 		f.Listed(start, pos(60), nil)
@@ -325,7 +325,7 @@
 		for now := start; now.Before(start.Add(20 * time.Second)); {
 			switch c := f.Next(now).(type) {
 			case follow.List:
-				if now.Before(start.Add(settling.Settle + 300*time.Millisecond)) {
+				if now.Before(start.Add(settling.RelistDelay + 300*time.Millisecond)) {
 					f.Listed(now, store.Position{}, store.ErrUnavailable)
 					continue
 				}
@@ -334,11 +334,11 @@
 			case follow.Watch:
 				now = now.Add(c.Wait)
 				f.Watched(now, store.PositionOf(2, 45), nil)
-			case follow.Rest:
+			case follow.Sleep:
 				now = c.Until
 			}
 		}
-		if len(listed) != 1 || listed[0] < settling.Settle || listed[0] > settling.Settle+time.Second {
+		if len(listed) != 1 || listed[0] < settling.RelistDelay || listed[0] > settling.RelistDelay+time.Second {
 			t.Errorf("told by another box %v: listed after %v", told, listed)
 		}
 	}
