--- a/node/following.go
+++ b/node/following.go
@@ -72,10 +72,10 @@
 func (f *following) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		boxes, place := f.among()
-		f.follower.Among(boxes, place)
-		f.follower.Delegate(f.delegated())
-		f.follower.CaughtUp(clock.Now(), f.known())
-		f.follower.Learned(f.era())
+		f.follower.SetPeers(boxes, place)
+		f.follower.SetDelegated(f.delegated())
+		f.follower.CaughtUpFromPeers(clock.Now(), f.known())
+		f.follower.ObserveEra(f.era())
 		switch c := f.follower.Next(clock.Now()).(type) {
 		case follow.List:
 			f.list(ctx)
@@ -160,10 +160,10 @@
 
 func (f *following) logState(lost bool, err error) {
 	if lost {
-		f.common.Log.Warn("store lost", "kind", f.kind, "known_to", f.follower.At(), "err", err)
+		f.common.Log.Warn("store lost", "kind", f.kind, "known_to", f.follower.Position(), "err", err)
 		return
 	}
-	f.common.Log.Info("store answers again", "kind", f.kind, "away", clock.Since(f.follower.LostAt()))
+	f.common.Log.Info("store answers again", "kind", f.kind, "away", clock.Since(f.follower.FailingSince()))
 }
 
 // followConfiguration follows the operator's configuration.
--- a/store/follow/follower.go
+++ b/store/follow/follower.go
@@ -76,14 +76,14 @@
 // New returns a follower that has seen nothing.
 func New(p Timing, rnd *rand.Rand) *Follower { return &Follower{pace: p, rand: rnd, boxes: 1} }
 
-// At is the position up to which the kind is known.
-func (f *Follower) At() store.Position { return f.at }
+// Position is the position up to which the kind is known.
+func (f *Follower) Position() store.Position { return f.at }
 
-// GoodAt is when the store last answered; zero for never.
-func (f *Follower) GoodAt() time.Time { return f.goodAt }
+// LastSuccess is when the store last answered; zero for never.
+func (f *Follower) LastSuccess() time.Time { return f.goodAt }
 
-// LostAt is when the store stopped answering; zero while it answers.
-func (f *Follower) LostAt() time.Time { return f.lostAt }
+// FailingSince is when the store stopped answering; zero while it answers.
+func (f *Follower) FailingSince() time.Time { return f.lostAt }
 
 // Next reports what to do.
 func (f *Follower) Next(now time.Time) Command {
@@ -116,10 +116,10 @@
 // this one: short against the seconds in which a configuration is to be in force.
 const delegatedCheck = 250 * time.Millisecond
 
-// Delegate sets whether another box follows the store for this one now. A hundred boxes that
+// SetDelegated sets whether another box follows the store for this one now. A hundred boxes that
 // all watch end a hundred calls with each change; where a few watch for the others it is
 // those few. Once none does it goes on by itself from what it knows.
-func (f *Follower) Delegate(by bool) {
+func (f *Follower) SetDelegated(by bool) {
 	if f.delegated && !by {
 		f.spread = true
 	}
@@ -134,9 +134,9 @@
 	return time.Duration(f.rand.Int64N(int64(bound) + 1))
 }
 
-// Among sets how many boxes notify each other what they learn, and the place of this
+// SetPeers sets how many boxes notify each other what they learn, and the place of this
 // one in their order, from 0.
-func (f *Follower) Among(boxes, place int) {
+func (f *Follower) SetPeers(boxes, place int) {
 	f.boxes = max(boxes, 1)
 	f.place = min(max(place, 0), f.boxes-1)
 }
@@ -234,10 +234,10 @@
 	f.goodAt, f.lostAt = now, time.Time{}
 }
 
-// Learned takes the latest era of the store that this box has learned of. In a later era than
+// ObserveEra takes the latest era of the store that this box has learned of. In a later era than
 // the one up to which the kind is known, it is listed anew; once for each era, since other boxes
 // may report one that the store itself does not state.
-func (f *Follower) Learned(era store.Era) {
+func (f *Follower) ObserveEra(era store.Era) {
 	if era <= f.learned {
 		return
 	}
@@ -253,9 +253,9 @@
 	f.restTo = now.Add(f.pace.ChangePause)
 }
 
-// CaughtUp records that peers gave all that the store held at the position; zero if none did. It
+// CaughtUpFromPeers records that peers gave all that the store held at the position; zero if none did. It
 // does not replace the history that the store lost within an era.
-func (f *Follower) CaughtUp(now time.Time, at store.Position) {
+func (f *Follower) CaughtUpFromPeers(now time.Time, at store.Position) {
 	if !at.IsZero() && (!f.lostHistory || at.Era() > f.at.Era()) {
 		f.listed, f.lostHistory = true, false
 		f.advance(now, at)
--- a/store/follow/follower_test.go
+++ b/store/follow/follower_test.go
@@ -68,11 +68,11 @@
 			t.Fatalf("after the pause: %+v", f.Next(now))
 		}
 	}
-	if !f.LostAt().Equal(start) {
-		t.Errorf("lost at %v, want the first failure", f.LostAt())
+	if !f.FailingSince().Equal(start) {
+		t.Errorf("lost at %v, want the first failure", f.FailingSince())
 	}
 	f.Watched(now, pos(41), nil)
-	if !f.LostAt().IsZero() || !f.GoodAt().Equal(now) {
+	if !f.FailingSince().IsZero() || !f.LastSuccess().Equal(now) {
 		t.Error("a success does not end the trouble")
 	}
 	f.Watched(now, store.Position{}, errors.New("again"))
@@ -89,7 +89,7 @@
 		list[i].Listed(start, pos(1), nil)
 		list[i].Watched(start, pos(2), nil)
 		list[i].Changed(start)
-		list[i].Among(boxes, i)
+		list[i].SetPeers(boxes, i)
 	}
 	return list
 }
@@ -127,7 +127,7 @@
 	}
 	f := newFollower()
 	f.Listed(start, pos(1), nil)
-	f.Among(1000, 999)
+	f.SetPeers(1000, 999)
 	if w := f.Next(start).(follow.Watch); w.Wait > pace.MaxWait {
 		t.Errorf("waits %v, the most is %v", w.Wait, pace.MaxWait)
 	}
@@ -175,13 +175,13 @@
 	if _, ok := f.Next(start).(follow.Sleep); !ok {
 		t.Fatalf("at its start it does %v", f.Next(start))
 	}
-	f.CaughtUp(start, pos(7))
-	f.Delegate(true)
+	f.CaughtUpFromPeers(start, pos(7))
+	f.SetDelegated(true)
 	if c, ok := f.Next(start.Add(time.Minute)).(follow.Sleep); !ok || c.Until.Sub(start) > time.Minute+time.Second {
 		t.Errorf("while it is told it does %v", f.Next(start.Add(time.Minute)))
 	}
-	f.CaughtUp(start, pos(9))
-	f.Delegate(false)
+	f.CaughtUpFromPeers(start, pos(9))
+	f.SetDelegated(false)
 	if w, ok := f.Next(start.Add(2 * time.Minute)).(follow.Watch); !ok || w.Since != pos(9) {
 		t.Errorf("told no more it does %v, want a watch since 9", f.Next(start.Add(2*time.Minute)))
 	}
@@ -193,7 +193,7 @@
 	p.MaxStartDelay = time.Second
 	f := follow.New(p, rand.New(rand.NewPCG(3, 4)))
 	f.Next(start)
-	f.CaughtUp(start, store.Position{})
+	f.CaughtUpFromPeers(start, store.Position{})
 	if _, ok := f.Next(start.Add(time.Second)).(follow.List); !ok {
 		t.Errorf("after its first pause it does %v", f.Next(start.Add(time.Second)))
 	}
@@ -204,7 +204,7 @@
 	f := follow.New(pace, rand.New(rand.NewPCG(3, 4)))
 	f.Listed(start, pos(5), nil)
 	f.Watched(start, store.Position{}, store.ErrHistoryLost)
-	f.CaughtUp(start, pos(6))
+	f.CaughtUpFromPeers(start, pos(6))
 	if _, ok := f.Next(start.Add(time.Minute)).(follow.List); !ok {
 		t.Errorf("after its history was lost it does %v", f.Next(start.Add(time.Minute)))
 	}
@@ -230,47 +230,47 @@
 			}
 		}, true, store.Position{}},
 		{"the revision is not there", func(f *follow.Follower) { f.Watched(start, store.Position{}, store.ErrHistoryLost) }, true, store.Position{}},
-		{"another answer states it", func(f *follow.Follower) { f.Learned(2) }, true, store.Position{}},
+		{"another answer states it", func(f *follow.Follower) { f.ObserveEra(2) }, true, store.Position{}},
 		{"it is stated again", func(f *follow.Follower) {
-			f.Learned(2)
+			f.ObserveEra(2)
 			f.Listed(start, later, nil)
-			f.Learned(2)
+			f.ObserveEra(2)
 		}, false, later},
 		{"the next follows at once", func(f *follow.Follower) {
-			f.Learned(2)
+			f.ObserveEra(2)
 			f.Listed(start, later, nil)
-			f.Learned(3)
+			f.ObserveEra(3)
 		}, true, store.Position{}},
 		{"another box reports one that the store does not state", func(f *follow.Follower) {
-			f.Learned(9)
+			f.ObserveEra(9)
 			f.Listed(start, later, nil)
-			f.Learned(9)
+			f.ObserveEra(9)
 		}, false, later},
 		{"other boxes have all that is in it", func(f *follow.Follower) {
-			f.Learned(2)
-			f.CaughtUp(start, later)
+			f.ObserveEra(2)
+			f.CaughtUpFromPeers(start, later)
 		}, false, later},
 		{"other boxes have all, after the history was lost", func(f *follow.Follower) {
 			f.Watched(start, store.Position{}, store.ErrHistoryLost)
-			f.CaughtUp(start, later)
+			f.CaughtUpFromPeers(start, later)
 		}, false, later},
 		{"other boxes have what was before", func(f *follow.Follower) {
 			f.Watched(start, store.Position{}, store.ErrHistoryLost)
-			f.CaughtUp(start, pos(90))
+			f.CaughtUpFromPeers(start, pos(90))
 		}, true, store.Position{}},
 		{"a late answer of the era before", func(f *follow.Follower) {
 			f.Listed(start, later, nil)
 			f.Watched(start, pos(90), nil)
 		}, false, later},
 		{"a late listing of the era before", func(f *follow.Follower) {
-			f.CaughtUp(start, later)
+			f.CaughtUpFromPeers(start, later)
 			f.Listed(start, pos(90), nil)
 		}, false, later},
 	}
 	for _, tc := range tests {
 		f := newFollower()
 		f.Listed(start, pos(60), nil)
-		f.Learned(1)
+		f.ObserveEra(1)
 		tc.tell(f)
 		switch c := f.Next(start).(type) {
 		case follow.List:
@@ -319,8 +319,8 @@
 	for _, told := range []bool{false, true} {
 		f := follow.New(settling, rand.New(rand.NewPCG(1, 2)))
 		f.Listed(start, pos(60), nil)
-		f.Delegate(told)
-		f.CaughtUp(start, store.PositionOf(2, 40))
+		f.SetDelegated(told)
+		f.CaughtUpFromPeers(start, store.PositionOf(2, 40))
 		var listed []time.Duration
 		for now := start; now.Before(start.Add(20 * time.Second)); {
 			switch c := f.Next(now).(type) {
