--- a/settings/file.go
+++ b/settings/file.go
@@ -63,7 +63,7 @@
 			asked = true
 		case <-look.C:
 		}
-		fields, err := f.Again()
+		fields, err := f.Reload()
 		switch {
 		case err != nil:
 			log.Error("settings not taken, the former stay", "file", f.path, "err", err)
@@ -76,9 +76,9 @@
 	}
 }
 
-// Again reads the file again, and names the fields that have changed. A file with a
+// Reload reads the file again, and names the fields that have changed. A file with a
 // mistake changes nothing; the mistake is told once.
-func (f *File[S]) Again() ([]string, error) {
+func (f *File[S]) Reload() ([]string, error) {
 	raw, err := os.ReadFile(f.path)
 	if err != nil {
 		return nil, &Error{file: f.path, text: err.Error()}
--- a/settings/file_test.go
+++ b/settings/file_test.go
@@ -53,7 +53,7 @@
 	}
 	for _, tc := range steps {
 		write(t, path, tc.text)
-		fields, err := f.Again()
+		fields, err := f.Reload()
 		if (err != nil) != tc.fails || len(fields)+len(tc.fields) > 0 && !reflect.DeepEqual(fields, tc.fields) {
 			t.Errorf("%s: %v, %v", tc.name, fields, err)
 		}
@@ -73,7 +73,7 @@
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.Again(); err == nil || f.Current().Box != "a" {
+	if _, err := f.Reload(); err == nil || f.Current().Box != "a" {
 		t.Errorf("%v, with the box %q", err, f.Current().Box)
 	}
 	if _, err := settings.Open(path, changingDefaults); err == nil {
