--- a/catalog/service.go
+++ b/catalog/service.go
@@ -17,43 +17,43 @@
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	Header      time.Duration // to send the whole head
-	Idle        time.Duration // a connection may rest
+	HeaderTimeout      time.Duration // to send the whole head
+	IdleTimeout        time.Duration // a connection may rest
 }
 
 // DefaultLimits hold until a configuration sets others. They are the customary
 // ones of HTTP servers.
 func DefaultLimits() Limits {
-	return Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, Header: 3 * time.Second, Idle: 15 * time.Second}
+	return Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 }
 
 // Engine is what a service's model engines cost and hold.
 type Engine struct {
-	Step       time.Duration // one token step of a pass
-	PerRequest time.Duration // more for each request that writes
-	ReadPerS   float64       // prompt tokens read a second
-	Stride     int           // token steps in a pass with writers
+	StepTime       time.Duration // one token step of a pass
+	StepTimePerRequest time.Duration // more for each request that writes
+	PromptTokensPerSecond   float64       // prompt tokens read a second
+	StepsPerPass     int           // token steps in a pass with writers
 	Experts    *Experts      // nil for engines without expert groups
 }
 
 // Experts is the shape of the expert maps of a service's groups.
 type Experts struct {
 	Layers int // sets of experts that are placed by themselves
-	PerSet int // experts of a layer
-	Places int // experts of a layer that a rank holds at the most
+	PerLayer int // experts of a layer
+	Slots int // experts of a layer that a rank holds at the most
 	// Staging is how many experts of a layer, new to it, a rank takes in at once.
 	Staging int
-	// Load is how long a rank takes to copy in one expert.
-	Load time.Duration
+	// CopyTime is how long a rank takes to copy in one expert.
+	CopyTime time.Duration
 	// Share is the part of the work that goes to experts, from 0 to 1.
 	Share float64
-	// Form is how long a group takes to open after its last rank is back.
-	Form time.Duration
+	// FormTime is how long a group takes to open after its last rank is back.
+	FormTime time.Duration
 }
 
 // Service is what stands behind routes.
 type Service struct {
 	Name        domain.ServiceName
-	Connections int     // that a target takes from all boxes together; 0 for no bound
+	MaxConnections int     // that a target takes from all boxes together; 0 for no bound
 	Engine      *Engine // nil for a plain service
 }
--- a/node/entry.go
+++ b/node/entry.go
@@ -157,12 +157,12 @@
 	limits := catalog.DefaultLimits()
 	door := gateway.NewDoor(&http.Server{
 		Handler: e.gateway, MaxHeaderBytes: limits.HeaderBytes,
-		ReadHeaderTimeout: limits.Header, IdleTimeout: limits.Idle,
+		ReadHeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout,
 	})
 	if err := s.Serve(door, e.settings().Callers); err != nil {
 		return nil, err
 	}
-	if err := s.Serve(&http.Server{Handler: e.ready, ReadHeaderTimeout: limits.Header}, e.settings().Ready); err != nil {
+	if err := s.Serve(&http.Server{Handler: e.ready, ReadHeaderTimeout: limits.HeaderTimeout}, e.settings().Ready); err != nil {
 		return nil, err
 	}
 	return door, s.ServeMetrics(e.common, e.settings().Metrics)
--- a/node/process/servers.go
+++ b/node/process/servers.go
@@ -40,7 +40,7 @@
 	if address == "" {
 		return nil
 	}
-	return s.Serve(&http.Server{Handler: c.Metrics.Handler(), ReadHeaderTimeout: catalog.DefaultLimits().Header}, address)
+	return s.Serve(&http.Server{Handler: c.Metrics.Handler(), ReadHeaderTimeout: catalog.DefaultLimits().HeaderTimeout}, address)
 }
 
 // Fail reports how a server ended. Only the first counts, and none once the process leaves.
