--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -89,7 +89,7 @@
 	}
 	n := map[domain.ServiceName]int{}
 	for i := range 1000 {
-		n[r.Backend(float64(i)/1000)]++
+		n[r.SelectService(float64(i)/1000)]++
 	}
 	if n["a"] != 900 || n["b"] != 100 || n["none"] != 0 {
 		t.Errorf("got %v", n)
--- a/catalog/route.go
+++ b/catalog/route.go
@@ -49,11 +49,11 @@
 	Prefix   string // begins and ends with a slash
 	Kind     Kind
 	Timeout  time.Duration // from arrival to the final answer
-	Aim      time.Duration // within which an answer is in time
-	GapAim   time.Duration // longest pause between events of an answer in time; 0 for none
+	LatencyObjective      time.Duration // within which an answer is in time
+	EventGapObjective   time.Duration // longest pause between events of an answer in time; 0 for none
 	Priority int           // 0 is the most urgent
-	Attempts int           // targets that one request may be sent to
-	Open     bool          // needs no key
+	MaxAttempts int           // targets that one request may be sent to
+	Public     bool          // needs no key
 	// Resumable reports that a stream may be taken up by another target after its
 	// last whole event.
 	Resumable bool
@@ -78,7 +78,7 @@
 	case f.Timeout <= 0:
 		return Route{}, bad("timeout", "route %q: %v is not positive", f.Name, f.Timeout)
 	}
-	f.Attempts = max(f.Attempts, 1)
+	f.MaxAttempts = max(f.MaxAttempts, 1)
 	r := Route{f: f}
 	for _, b := range f.Backends {
 		if b.Service == "" || b.Weight < 0 {
@@ -105,20 +105,20 @@
 // Timeout is how long a request may be held before its final answer.
 func (r Route) Timeout() time.Duration { return r.f.Timeout }
 
-// Aim is the time within which an answer, or a stream's first event, is in time.
-func (r Route) Aim() time.Duration { return r.f.Aim }
+// LatencyObjective is the time within which an answer, or a stream's first event, is in time.
+func (r Route) LatencyObjective() time.Duration { return r.f.LatencyObjective }
 
-// GapAim is the longest pause between events of a stream in time; 0 for none.
-func (r Route) GapAim() time.Duration { return r.f.GapAim }
+// EventGapObjective is the longest pause between events of a stream in time; 0 for none.
+func (r Route) EventGapObjective() time.Duration { return r.f.EventGapObjective }
 
 // Priority is the rank of its requests; 0 is the most urgent.
 func (r Route) Priority() int { return r.f.Priority }
 
-// Attempts is how many targets one request may be sent to.
-func (r Route) Attempts() int { return r.f.Attempts }
+// MaxAttempts is how many targets one request may be sent to.
+func (r Route) MaxAttempts() int { return r.f.MaxAttempts }
 
-// Open reports that its requests need no key.
-func (r Route) Open() bool { return r.f.Open }
+// Public reports that its requests need no key.
+func (r Route) Public() bool { return r.f.Public }
 
 // MayRepeat reports whether a request may run more than once from its beginning. A
 // stream that may be resumed may also be run anew before its first event.
@@ -127,8 +127,8 @@
 // MayResume reports whether a broken stream may be taken up by another target.
 func (r Route) MayResume() bool { return r.f.Kind == Stream && r.f.Resumable }
 
-// Backend chooses the service for one request; draw is from 0 up to 1.
-func (r Route) Backend(draw float64) domain.ServiceName {
+// SelectService chooses the service for one request; draw is from 0 up to 1.
+func (r Route) SelectService(draw float64) domain.ServiceName {
 	left := draw * r.total
 	for _, b := range r.f.Backends {
 		if left -= b.Weight; left < 0 {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -42,7 +42,7 @@
 		a.impatience = clock.AfterFunc(a.try.Patience, func() { cancel(errImpatient) })
 		defer a.impatience.Stop()
 	}
-	if aim := a.d.o.route.Aim(); aim > 0 {
+	if aim := a.d.o.route.LatencyObjective(); aim > 0 {
 		a.overdue = clock.AfterFunc(clock.Now().Add(time.Duration(overdueAims*float64(aim))), a.lease.Overdue)
 		defer a.overdue.Stop()
 	}
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -48,8 +48,8 @@
 	defer cancel()
 	d := &delivery{g: g, o: o, w: w, after: o.After(), purse: g.parts.Purse(o.service)}
 	rules := retry.Rules{
-		Repeat: o.route.MayRepeat(), Resume: o.route.MayResume(), Attempts: o.route.Attempts(),
-		Deadline: o.deadline, Patience: patienceAims * o.route.Aim(),
+		Repeat: o.route.MayRepeat(), Resume: o.route.MayResume(), Attempts: o.route.MaxAttempts(),
+		Deadline: o.deadline, Patience: patienceAims * o.route.LatencyObjective(),
 	}
 	d.course = retry.NewCourse(rules, d.purse)
 	for cmd := d.course.Start(o.arrived); ; {
@@ -85,7 +85,7 @@
 	}
 	lease, err := d.g.parts.Fleet.Acquire(ctx, now, Query{
 		Service: d.o.service, Tried: d.tried, First: len(d.tried) == 0,
-		Route: d.o.route.Name(), Aim: d.o.route.Aim(), Deadline: d.o.deadline,
+		Route: d.o.route.Name(), Aim: d.o.route.LatencyObjective(), Deadline: d.o.deadline,
 	})
 	if err != nil {
 		f := fault.Find(err)
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -317,15 +317,15 @@
 		{Name: "stream", Prefix: "/stream/", Kind: catalog.Stream, Resumable: true, Timeout: 20 * time.Second},
 		{Name: "stream-once", Prefix: "/stream-once/", Kind: catalog.Stream, Timeout: 20 * time.Second},
 		{Name: "short", Prefix: "/short/", Kind: catalog.Repeatable, Timeout: 50 * time.Millisecond},
-		{Name: "paced", Prefix: "/paced/", Kind: catalog.Stream, Resumable: true, Timeout: 20 * time.Second, GapAim: time.Nanosecond},
-		{Name: "paced-once", Prefix: "/paced-once/", Kind: catalog.Stream, Timeout: 20 * time.Second, GapAim: time.Nanosecond},
-		{Name: "impatient", Prefix: "/impatient/", Kind: catalog.Repeatable, Timeout: 20 * time.Second, Aim: 10 * time.Millisecond},
+		{Name: "paced", Prefix: "/paced/", Kind: catalog.Stream, Resumable: true, Timeout: 20 * time.Second, EventGapObjective: time.Nanosecond},
+		{Name: "paced-once", Prefix: "/paced-once/", Kind: catalog.Stream, Timeout: 20 * time.Second, EventGapObjective: time.Nanosecond},
+		{Name: "impatient", Prefix: "/impatient/", Kind: catalog.Repeatable, Timeout: 20 * time.Second, LatencyObjective: 10 * time.Millisecond},
 		{Name: "locked", Prefix: "/locked/", Kind: catalog.Repeatable, Timeout: 20 * time.Second},
 	}
 	d := catalog.Document{Version: 3, Limits: catalog.DefaultLimits(), Organisations: []catalog.Organisation{{Name: "league", Keys: []string{"k"}}}}
 	d.Limits.BodyBytes = 100
 	for _, f := range fields {
-		f.Host, f.Attempts, f.Open = "h", 2, f.Name != "locked"
+		f.Host, f.MaxAttempts, f.Public = "h", 2, f.Name != "locked"
 		f.Backends = []catalog.Backend{{Service: "s", Weight: 1}}
 		r, err := catalog.NewRoute(f)
 		if err != nil {
--- a/gateway/intake.go
+++ b/gateway/intake.go
@@ -63,10 +63,10 @@
 	}
 	o.route = route
 	o.org, ok = c.Organisation(o.Key())
-	if !ok && !route.Open() {
+	if !ok && !route.Public() {
 		return fault.New(fault.Unauthenticated, "route %s: no organisation has the key in configuration %d", route.Name(), c.Version())
 	}
-	o.service = route.Backend(g.draw())
+	o.service = route.SelectService(g.draw())
 	o.deadline = o.arrived.Add(route.Timeout())
 	if d := o.Deadline(); !d.IsZero() && d.Before(o.deadline) {
 		o.deadline = d
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -82,7 +82,7 @@
 func (a *attempt) notePause(now time.Time) {
 	if !a.last.IsZero() {
 		a.pause = now.Sub(a.last)
-		a.lease.Paused(a.pause, a.d.o.route.GapAim())
+		a.lease.Paused(a.pause, a.d.o.route.EventGapObjective())
 	}
 	a.last = now
 }
@@ -90,7 +90,7 @@
 // toMove reports whether the stream goes on at another target, which is paid for then:
 // its events come too late, and that is this target's fault.
 func (a *attempt) toMove(now time.Time) bool {
-	aim := a.d.o.route.GapAim()
+	aim := a.d.o.route.EventGapObjective()
 	return a.try.Movable && aim > 0 && a.pause > aim && a.lease.Drags(now, a.d.tried) && a.d.purse.Take(now)
 }
 
