--- a/catalog/route.go
+++ b/catalog/route.go
@@ -44,16 +44,16 @@
 
 // RouteFields are what a Route is made of.
 type RouteFields struct {
-	Name     string
-	Host     string
-	Prefix   string // begins and ends with a slash
-	Kind     Kind
-	Timeout  time.Duration // from arrival to the final answer
-	LatencyObjective      time.Duration // within which an answer is in time
-	EventGapObjective   time.Duration // longest pause between events of an answer in time; 0 for none
-	Priority int           // 0 is the most urgent
-	MaxAttempts int           // targets that one request may be sent to
-	Public     bool          // needs no key
+	Name              string
+	Host              string
+	Prefix            string // begins and ends with a slash
+	Kind              Kind
+	Timeout           time.Duration // from arrival to the final answer
+	LatencyObjective  time.Duration // within which an answer is in time
+	EventGapObjective time.Duration // longest pause between events of an answer in time; 0 for none
+	Priority          int           // 0 is the most urgent
+	MaxAttempts       int           // targets that one request may be sent to
+	Public            bool          // needs no key
 	// Resumable reports that a stream may be taken up by another target after its
 	// last whole event.
 	Resumable bool
--- a/catalog/service.go
+++ b/catalog/service.go
@@ -15,10 +15,10 @@
 
 // Limits bound what a caller may send and how long it may take.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTimeout      time.Duration // to send the whole head
-	IdleTimeout        time.Duration // a connection may rest
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration // to send the whole head
+	IdleTimeout   time.Duration // a connection may rest
 }
 
 // DefaultLimits hold until a configuration sets others. They are the customary
@@ -29,18 +29,18 @@
 
 // Engine is what a service's model engines cost and hold.
 type Engine struct {
-	StepTime       time.Duration // one token step of a pass
-	StepTimePerRequest time.Duration // more for each request that writes
-	PromptTokensPerSecond   float64       // prompt tokens read a second
-	StepsPerPass     int           // token steps in a pass with writers
-	Experts    *Experts      // nil for engines without expert groups
+	StepTime              time.Duration // one token step of a pass
+	StepTimePerRequest    time.Duration // more for each request that writes
+	PromptTokensPerSecond float64       // prompt tokens read a second
+	StepsPerPass          int           // token steps in a pass with writers
+	Experts               *Experts      // nil for engines without expert groups
 }
 
 // Experts is the shape of the expert maps of a service's groups.
 type Experts struct {
-	Layers int // sets of experts that are placed by themselves
+	Layers   int // sets of experts that are placed by themselves
 	PerLayer int // experts of a layer
-	Slots int // experts of a layer that a rank holds at the most
+	Slots    int // experts of a layer that a rank holds at the most
 	// Staging is how many experts of a layer, new to it, a rank takes in at once.
 	Staging int
 	// CopyTime is how long a rank takes to copy in one expert.
@@ -53,7 +53,7 @@
 
 // Service is what stands behind routes.
 type Service struct {
-	Name        domain.ServiceName
+	Name           domain.ServiceName
 	MaxConnections int     // that a target takes from all boxes together; 0 for no bound
-	Engine      *Engine // nil for a plain service
+	Engine         *Engine // nil for a plain service
 }
--- a/node/entry.go
+++ b/node/entry.go
@@ -119,8 +119,8 @@
 	go e.peering.run(ctx)
 	e.common.Log.Info("started", "hall", e.settings().Hall, "callers", e.settings().Callers, "peers", e.settings().Peers, "store", e.settings().Store)
 	kept := completing{
-		RecordStore:    platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.stated),
-		timeline: e.timeline,
+		RecordStore: platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.stated),
+		timeline:    e.timeline,
 	}
 	e.follow(ctx, kept)
 	go e.quarantine.run(ctx, kept, e.settings().FirstStart)
--- a/node/following.go
+++ b/node/following.go
@@ -59,12 +59,12 @@
 // trouble is noticed before the bounds hold again.
 func pace(b process.Bounds) follow.Timing {
 	return follow.Timing{
-		Wait:       b.Contact.Std() / waitShare,
-		MaxWait:   mostWait,
-		MinBackoff: storePause,
+		Wait:        b.Contact.Std() / waitShare,
+		MaxWait:     mostWait,
+		MinBackoff:  storePause,
 		MaxBackoff:  min(storePauseMost, b.ConfigApply.Std()/pauseShare),
-		RelistDelay:     membership.SettleFor + settleSlack,
-		ChangePause:     b.Drain.Std() / gatherShare, // the rest is for telling targets' leaving on
+		RelistDelay: membership.SettleFor + settleSlack,
+		ChangePause: b.Drain.Std() / gatherShare, // the rest is for telling targets' leaving on
 	}
 }
 
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,30 +1,30 @@
-// Package quarantine decides which work is not sent to targets any more, since targets ended
-// under it.
+// Package quarantine decides which work is refused because targets ended while they ran it.
 //
-// A request may crash whatever runs it: a body that a model engine cannot take, a path that a
-// service fails on. Its caller asks again, at any box, and each try costs a target; where
-// targets step as a group it costs the group. Boxes therefore remember, for each work (the
-// digest that all tries of it share), which targets ended while they ran it, and tell each
-// other. Work under which enough targets ended is in quarantine: it is refused at once, and
-// told until when. After that it may be tried, and each target that ends then makes the next
-// quarantine longer.
+// A request can crash the process that runs it: a body that a model engine cannot handle, or a
+// path on which a service fails. Its caller retries, possibly through another box, and each
+// attempt costs a target; where targets step as a group it costs the whole group. Boxes therefore
+// record, for each work (identified by the digest that all attempts of a request share), which
+// targets ended while they ran it, and exchange these records. Work under which enough targets
+// ended is in quarantine: it is refused at once, with the time at which the quarantine ends.
+// After that it may be tried again, and each further target that ends makes the next quarantine
+// longer.
 //
-// Other requests run beside such a one, and are hit as the target ends. They are not taken for
-// it: they share a target once or twice and are served when they are sent again, and work that
-// was served anywhere since is cleared.
+// Other requests that run on a target as it ends are not mistaken for the cause: they share a
+// target with it once or twice, are served when they are sent again, and work that was served
+// anywhere afterwards is cleared.
 //
-// A Register is a state machine without I/O: observations of boxes and the time in, changes out. It
-// is the same for what this box saw, what others tell and what the platform's store keeps, in
-// whatever order it comes.
+// A Register is a state machine without I/O: it takes observations and the time, and returns
+// changes. Observations of this box, of other boxes and of the platform's store are handled alike,
+// in whatever order they arrive.
 //
 // # Usage
 //
 //	r := quarantine.NewRegister()
-//	if until, barred := r.Barred(now, digest); barred {
-//		// refuse, and say when to come back
+//	if until, quarantined := r.QuarantinedUntil(now, digest); quarantined {
+//		// refuse, with the time at which the caller may try again
 //	}
-//	switch r.Take(now, quarantine.Observation{Digest: digest, Target: id, At: now}) {
-//	case quarantine.News, quarantine.Barred:
-//		// notify other boxes r.Tell(now, false)
+//	switch r.Observe(now, quarantine.Observation{Digest: digest, Target: id, At: now}) {
+//	case quarantine.Updated, quarantine.Quarantined:
+//		// send r.Latest(now, false) to other boxes
 //	}
 package quarantine
--- a/quarantine/fuzz_test.go
+++ b/quarantine/fuzz_test.go
@@ -8,8 +8,8 @@
 	"clovertrail.dev/quarantine"
 )
 
-// FuzzRecord reads any bytes as a record of the store, which other writers may have changed,
-// and takes what it says: no record may bar work for longer than a quarantine lasts.
+// FuzzRecord decodes arbitrary bytes as a stored record, which other writers may have changed, and
+// observes its content: no record may quarantine work for longer than the longest quarantine.
 func FuzzRecord(f *testing.F) {
 	f.Add([]byte(`{"digest":"x","ended":{"a@1":1800000000000,"b":1800000001000}}`))
 	f.Add([]byte(`{"digest":"x","ended":{"a":9000000000000000000,"b":-9000000000000000000}}`))
@@ -21,14 +21,14 @@
 		}
 		reg := quarantine.NewRegister()
 		observations := r.Observations(begin, begin)
-		for _, w := range observations {
-			if w.At.After(begin) {
+		for _, o := range observations {
+			if o.At.After(begin) {
 				t.Errorf("%q: a target ended in the future", raw)
 			}
-			reg.Observe(begin, w)
+			reg.Observe(begin, o)
 		}
-		if until, barred := reg.QuarantinedUntil(begin, observations[0].Digest); barred && until.Sub(begin) > 48*time.Hour {
-			t.Errorf("%q: barred until %v", raw, until)
+		if until, quarantined := reg.QuarantinedUntil(begin, observations[0].Digest); quarantined && until.Sub(begin) > 48*time.Hour {
+			t.Errorf("%q: quarantined until %v", raw, until)
 		}
 		_ = r.Expired(begin)
 	})
--- /dev/null
+++ b/quarantine/recently_served.go
@@ -0,0 +1,27 @@
+package quarantine
+
+import (
+	"time"
+
+	"clovertrail.dev/core/call"
+)
+
+// maxRecentlyServed is the number of served works that are remembered, the latest ones: those of
+// some seconds of a box.
+const maxRecentlyServed = 256
+
+// recentlyServed is a ring buffer of the works that were served last, with the time of each.
+type recentlyServed struct {
+	at    map[call.Digest]time.Time
+	order [maxRecentlyServed]call.Digest
+	next  int // index in order that is overwritten next
+}
+
+func (s *recentlyServed) add(d call.Digest, at time.Time) {
+	if _, known := s.at[d]; !known {
+		delete(s.at, s.order[s.next])
+		s.order[s.next] = d
+		s.next = (s.next + 1) % maxRecentlyServed
+	}
+	s.at[d] = at
+}
--- a/quarantine/reconciler.go
+++ b/quarantine/reconciler.go
@@ -7,34 +7,36 @@
 	"clovertrail.dev/store"
 )
 
-// rewriteWithin is the time after a restore of the store in which boxes look what it lost: spread,
-// so that the first one has written that again before most of the others look.
-const rewriteWithin = 5 * time.Second
+// reconcileWithin is the time after a restore of the store in which each box compares the stored
+// records with its own. The comparisons are spread over it, so that the first box has written the
+// lost records again before most of the others compare.
+const reconcileWithin = 5 * time.Second
 
-// Reconciler decides when a box compares what the store keeps with what it knows itself, as the
-// store was restored from a copy and has lost records. It is not safe for concurrent use.
+// Reconciler schedules the comparison of the stored records with those that the box has, after the
+// store was restored from a backup and has lost records. It is not safe for concurrent use.
 type Reconciler struct {
 	rand  *rand.Rand
 	era   store.Era
-	dueAt time.Time // zero if nothing is to be compared
+	dueAt time.Time // zero if no comparison is pending
 }
 
-// NewReconciler returns the rewriter of a box that knows no era.
+// NewReconciler returns the reconciler of a box that has not observed an era yet.
 func NewReconciler(rnd *rand.Rand) *Reconciler { return &Reconciler{rand: rnd} }
 
-// ObserveEra takes the latest era of the store that the box has learned of.
-func (w *Reconciler) ObserveEra(now time.Time, era store.Era) {
-	if era <= w.era {
+// ObserveEra records the latest era of the store that the box has observed. A later era than before
+// schedules a comparison; the first one does not.
+func (r *Reconciler) ObserveEra(now time.Time, era store.Era) {
+	if era <= r.era {
 		return
 	}
-	if w.era > 0 {
-		w.dueAt = now.Add(time.Duration(w.rand.Int64N(int64(rewriteWithin))))
+	if r.era > 0 {
+		r.dueAt = now.Add(time.Duration(r.rand.Int64N(int64(reconcileWithin))))
 	}
-	w.era = era
+	r.era = era
 }
 
-// Due reports whether the box is to list what the store keeps now.
-func (w *Reconciler) Due(now time.Time) bool { return !w.dueAt.IsZero() && !now.Before(w.dueAt) }
+// Due reports whether the box is to list the stored records now.
+func (r *Reconciler) Due(now time.Time) bool { return !r.dueAt.IsZero() && !now.Before(r.dueAt) }
 
-// MarkCompared records that what the store keeps was listed, and what is missing is being written.
-func (w *Reconciler) MarkCompared() { w.dueAt = time.Time{} }
+// MarkCompared records that the stored records were listed, and that missing ones are being written.
+func (r *Reconciler) MarkCompared() { r.dueAt = time.Time{} }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -10,30 +10,32 @@
 	"clovertrail.dev/core/fault"
 )
 
-// Record is what is kept of a work in quarantine where no box remembers it. It encodes as JSON.
+// Record is the stored form of a quarantine, for boxes that have no observations of the work. It
+// encodes as JSON.
 type Record struct{ f recordFields }
 
 type recordFields struct {
 	Digest call.Digest `json:"digest"`
-	// Ended is when targets ended under the work, in milliseconds of Unix time.
+	// Ended maps each target that ended under the work to the time, in milliseconds of Unix time.
 	Ended map[domain.InstanceID]int64 `json:"ended"`
 }
 
-// NewRecord is the record of what a Register knows of a work, at times of day.
-func NewRecord(of []Observation) Record {
+// NewRecord returns the record of a Register's observations of one work, whose times must be times
+// of day.
+func NewRecord(observations []Observation) Record {
 	r := Record{f: recordFields{Ended: map[domain.InstanceID]int64{}}}
-	for _, w := range of {
-		r.f.Digest = w.Digest
-		r.f.Ended[w.Target] = w.At.UnixMilli()
+	for _, o := range observations {
+		r.f.Digest = o.Digest
+		r.f.Ended[o.Target] = o.At.UnixMilli()
 	}
 	return r
 }
 
-// Name tells the record from those of other works, and of the same with more targets.
+// Name is unique to the work and to the number of targets that ended under it.
 func (r Record) Name() string { return fmt.Sprintf("%s-%d", r.f.Digest, len(r.f.Ended)) }
 
-// Observations are what the record says, as of now, which is the given time of day. Boxes may
-// disagree on that by seconds; quarantines last for minutes.
+// Observations returns the observations of the record relative to now, where day is the time of
+// day at now. The clocks of boxes may differ by seconds; quarantines last for minutes.
 func (r Record) Observations(now, day time.Time) []Observation {
 	var list []Observation
 	for id, ms := range r.f.Ended {
@@ -43,14 +45,14 @@
 	return list
 }
 
-// Expired reports that the quarantine, and the time for which it is remembered, have passed at the
-// time of day.
+// Expired reports whether the quarantine, and the time for which the work is remembered after it,
+// have passed at the time of day.
 func (r Record) Expired(day time.Time) bool {
 	var last int64
 	for _, ms := range r.f.Ended {
 		last = max(last, ms)
 	}
-	return day.Sub(time.UnixMilli(last).Add(term(len(r.f.Ended)-enough))) > rememberFor
+	return day.Sub(time.UnixMilli(last).Add(term(len(r.f.Ended)-minEnded))) > retention
 }
 
 // MarshalJSON implements json.Marshaler.
@@ -60,10 +62,10 @@
 func (r *Record) UnmarshalJSON(raw []byte) error {
 	var f recordFields
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return fault.New(fault.InvalidObject, "a record of a quarantine: %v", err)
+		return fault.New(fault.InvalidObject, "decoding a quarantine record: %v", err)
 	}
 	if f.Digest == "" || len(f.Ended) == 0 {
-		return fault.New(fault.InvalidObject, "a record of a quarantine names no work or no target").Field("digest")
+		return fault.New(fault.InvalidObject, "quarantine record without a digest or without targets").Field("digest")
 	}
 	r.f = f
 	return nil
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -10,160 +10,162 @@
 )
 
 const (
-	// enough is under how many ended targets work is barred. One may have ended by itself; a third
-	// would cost one more group, of which a small deployment has two.
-	enough = 2
-	// enoughServed is the same for work that was served within servedFor before: many requests
-	// may ask for the same, some of which then run beside one that crashes targets, again and
-	// again. It must not be out of all bounds, since a new program may fail on old work.
-	enoughServed = 4
-	servedFor    = time.Minute
-	// firstTerm is the first quarantine: many times as long as the target that a try after it may
-	// cost is away.
+	// minEnded is the number of targets that must have ended under a work before it is
+	// quarantined. A single one may have ended for another reason; a third would cost one more
+	// group, and a small deployment has two.
+	minEnded = 2
+	// minEndedServed replaces minEnded for work that was served less than servedWindow before: many
+	// callers may send the same request, and some of these may repeatedly run beside one that
+	// crashes targets. The number must stay small, since a new program may fail on old work.
+	minEndedServed = 4
+	servedWindow   = time.Minute
+	// firstTerm is the duration of the first quarantine: many times as long as the outage of the
+	// target that an attempt after it may cost.
 	firstTerm = 2 * time.Minute
-	// longer is how many times longer each further one is: a day of tries after quarantines
-	// then ends three targets more.
-	longer = 10
-	// mostTerm bounds a quarantine.
-	mostTerm = 48 * time.Hour
-	// rememberFor is how long a work is remembered after the last that was learnt of it, or
-	// after its quarantine: a caller who asks each few minutes is still found out.
-	rememberFor = time.Hour
-	// worksMost bounds how many works are remembered. One ended target leaves as many as it had
-	// slots and places to wait.
-	worksMost = 1024
-	// tellFor is how long what is new of a work is told on: six rounds of adverts, in which
-	// each box tells eight others.
-	tellFor = 3 * time.Second
-	// tellMost is how many observations one message has, the latest: three kilobytes.
-	tellMost = 40
+	// termFactor is the ratio of the duration of a quarantine to that of the one before: a caller
+	// that retries after each quarantine then costs three more targets in a day.
+	termFactor = 10
+	// maxTerm is the maximum duration of a quarantine.
+	maxTerm = 48 * time.Hour
+	// retention is how long a work is remembered after the last update or after the end of its
+	// quarantine, so that a caller who retries every few minutes is still recognised.
+	retention = time.Hour
+	// maxWorks is the maximum number of works that are remembered. One ended target adds as many
+	// as it had slots and queued requests.
+	maxWorks = 1024
+	// reportFor is how long an update of a work is sent to other boxes: six rounds of adverts,
+	// in each of which every box notifies eight others.
+	reportFor = 3 * time.Second
+	// maxReported is the maximum number of observations in one message, the latest ones:
+	// three kilobytes.
+	maxReported = 40
 )
 
-// Observation is one thing that is known of a work.
+// Observation states that a target ended while it ran a work, or that the work was served.
 type Observation struct {
 	Digest call.Digest
-	// Target is the start of a target that ended while it ran the work; empty where the
-	// work was served.
+	// Target is the start of a target that ended while it ran the work; empty if the work was
+	// served.
 	Target domain.InstanceID
 	At     time.Time
 }
 
-// Change is what an observation changed.
+// Change is the effect of an observation on a Register.
 type Change int
 
 // The changes.
 const (
-	// Unchanged: it was known, or does not matter any more.
+	// Unchanged: the observation was known already, or is out of date.
 	Unchanged Change = iota
-	// Updated: other boxes are to learn of it.
+	// Updated: the observation is new and is to be sent to other boxes.
 	Updated
-	// Quarantined: the work is in quarantine now, or for longer.
+	// Quarantined: the work is in quarantine now, or for longer than before.
 	Quarantined
-	// Released: the work was served, and is not in quarantine any more.
+	// Released: the work was served, and is no longer in quarantine.
 	Released
 )
 
-// work is what is known of one digest.
+// work holds the observations of one digest.
 type work struct {
-	ended  map[domain.InstanceID]time.Time
-	served time.Time // zero for never; what was before does not count
-	learnt time.Time // when something new was learnt
+	ended   map[domain.InstanceID]time.Time
+	served  time.Time // zero for never; targets that ended before it do not count
+	updated time.Time // time of the last new observation
 }
 
-// Register is what a box knows of works under which targets ended. It is not safe for
+// Register holds a box's observations of works under which targets ended. It is not safe for
 // concurrent use.
 type Register struct {
 	works  map[call.Digest]*work
-	served recent
+	served recentlyServed
 }
 
 // NewRegister returns an empty register.
 func NewRegister() *Register {
-	return &Register{works: map[call.Digest]*work{}, served: recent{at: map[call.Digest]time.Time{}}}
+	return &Register{works: map[call.Digest]*work{}, served: recentlyServed{at: map[call.Digest]time.Time{}}}
 }
 
-// Observe takes an observation of this box, of another or of the store.
-func (r *Register) Observe(now time.Time, w Observation) Change {
-	if w.Target == "" {
-		return r.cleared(now, w)
+// Observe adds an observation of this box, of another box or of the store.
+func (r *Register) Observe(now time.Time, o Observation) Change {
+	if o.Target == "" {
+		return r.observeServed(now, o)
 	}
-	x, known := r.works[w.Digest]
+	w, known := r.works[o.Digest]
 	if !known {
-		x = &work{ended: map[domain.InstanceID]time.Time{}, served: r.served.at[w.Digest], learnt: now}
-		r.works[w.Digest] = x
-		r.forget(now)
+		w = &work{ended: map[domain.InstanceID]time.Time{}, served: r.served.at[o.Digest], updated: now}
+		r.works[o.Digest] = w
+		r.evict(now)
 	}
-	if _, counted := x.ended[w.Target]; counted || !w.At.After(x.served) {
+	if _, counted := w.ended[o.Target]; counted || !o.At.After(w.served) {
 		return Unchanged
 	}
-	x.ended[w.Target], x.learnt = w.At, now
-	if now.Before(x.until()) {
+	w.ended[o.Target], w.updated = o.At, now
+	if now.Before(w.until()) {
 		return Quarantined
 	}
 	return Updated
 }
 
-// cleared takes that the work was served: it does not crash its targets.
-func (r *Register) cleared(now time.Time, w Observation) Change {
-	x, known := r.works[w.Digest]
+// observeServed records that the work was served, which shows that it does not crash its targets.
+func (r *Register) observeServed(now time.Time, o Observation) Change {
+	w, known := r.works[o.Digest]
 	switch {
 	case !known:
-		r.served.add(w.Digest, w.At)
+		r.served.add(o.Digest, o.At)
 		return Unchanged
-	case !w.At.After(x.served):
+	case !o.At.After(w.served):
 		return Unchanged
 	}
-	barred := now.Before(x.until())
-	x.served, x.learnt = w.At, now
-	for id, at := range x.ended {
-		if !at.After(w.At) {
-			delete(x.ended, id)
+	quarantined := now.Before(w.until())
+	w.served, w.updated = o.At, now
+	for id, at := range w.ended {
+		if !at.After(o.At) {
+			delete(w.ended, id)
 		}
 	}
-	if barred && !now.Before(x.until()) {
+	if quarantined && !now.Before(w.until()) {
 		return Released
 	}
 	return Updated
 }
 
-// EndedTargets is how many targets are known to have ended under the work.
+// EndedTargets returns the number of targets known to have ended under the work.
 func (r *Register) EndedTargets(d call.Digest) int {
-	if x, known := r.works[d]; known {
-		return len(x.ended)
+	if w, known := r.works[d]; known {
+		return len(w.ended)
 	}
 	return 0
 }
 
 // QuarantinedUntil reports whether the work is in quarantine, and until when.
-func (r *Register) QuarantinedUntil(now time.Time, d call.Digest) (until time.Time, barred bool) {
-	x, known := r.works[d]
+func (r *Register) QuarantinedUntil(now time.Time, d call.Digest) (until time.Time, quarantined bool) {
+	w, known := r.works[d]
 	if !known {
 		return time.Time{}, false
 	}
-	until = x.until()
+	until = w.until()
 	return until, now.Before(until)
 }
 
-// Observations is all that is known of targets that ended under the work, oldest first.
+// Observations returns all observations of targets that ended under the work, oldest first.
 func (r *Register) Observations(d call.Digest) []Observation {
-	x, known := r.works[d]
+	w, known := r.works[d]
 	if !known {
 		return nil
 	}
 	var list []Observation
-	for id, at := range x.ended {
+	for id, at := range w.ended {
 		list = append(list, Observation{Digest: d, Target: id, At: at})
 	}
 	slices.SortFunc(list, func(x, y Observation) int { return cmp.Or(x.At.Compare(y.At), cmp.Compare(x.Target, y.Target)) })
 	return list
 }
 
-// ToPersist are the works that the store is to keep, sorted: those in quarantine, and those whose
-// quarantine is over and still counts for the next one.
+// ToPersist returns the works of which the store is to hold a record, sorted: those in quarantine,
+// and those whose quarantine is over but still counts for the next one.
 func (r *Register) ToPersist(now time.Time) []call.Digest {
 	var list []call.Digest
-	for d, x := range r.works {
-		if until := x.until(); !until.IsZero() && now.Sub(until) <= rememberFor {
+	for d, w := range r.works {
+		if until := w.until(); !until.IsZero() && now.Sub(until) <= retention {
 			list = append(list, d)
 		}
 	}
@@ -171,70 +173,71 @@
 	return list
 }
 
-// Latest is what other boxes are to hear: what was learnt lately, and, where all is wanted, for
-// boxes that were cut off meanwhile, what is known of works in quarantine.
+// Latest returns the observations to send to other boxes: those of recently updated works and, if
+// all is set, those of all works in quarantine, for boxes that were isolated meanwhile.
 func (r *Register) Latest(now time.Time, all bool) []Observation {
 	var list []Observation
-	for d, x := range r.works {
-		fresh := now.Sub(x.learnt) < tellFor
-		if barred := now.Before(x.until()); !fresh && (!all || !barred) {
+	for d, w := range r.works {
+		fresh := now.Sub(w.updated) < reportFor
+		if quarantined := now.Before(w.until()); !fresh && (!all || !quarantined) {
 			continue
 		}
 		list = append(list, r.Observations(d)...)
-		if fresh && !x.served.IsZero() {
-			list = append(list, Observation{Digest: d, At: x.served})
+		if fresh && !w.served.IsZero() {
+			list = append(list, Observation{Digest: d, At: w.served})
 		}
 	}
 	slices.SortFunc(list, func(x, y Observation) int {
 		return cmp.Or(y.At.Compare(x.At), cmp.Compare(x.Digest, y.Digest), cmp.Compare(x.Target, y.Target))
 	})
-	return list[:min(tellMost, len(list))]
+	return list[:min(maxReported, len(list))]
 }
 
-// until is the end of the work's quarantine; zero for none.
-func (x *work) until() time.Time {
+// until returns the end of the work's quarantine; zero for none.
+func (w *work) until() time.Time {
 	var last time.Time
-	for _, at := range x.ended {
+	for _, at := range w.ended {
 		if at.After(last) {
 			last = at
 		}
 	}
-	need := enough
-	if !x.served.IsZero() && last.Sub(x.served) < servedFor {
-		need = enoughServed
+	need := minEnded
+	if !w.served.IsZero() && last.Sub(w.served) < servedWindow {
+		need = minEndedServed
 	}
-	if len(x.ended) < need {
+	if len(w.ended) < need {
 		return time.Time{}
 	}
-	return last.Add(term(len(x.ended) - need))
+	return last.Add(term(len(w.ended) - need))
 }
 
-// term is how long a quarantine is after so many targets more than it takes.
-func term(more int) time.Duration {
+// term returns the duration of a quarantine after that many ended targets beyond those that the
+// first quarantine takes.
+func term(further int) time.Duration {
 	t := firstTerm
-	for range more {
-		if t = min(t*longer, mostTerm); t == mostTerm {
+	for range further {
+		if t = min(t*termFactor, maxTerm); t == maxTerm {
 			break
 		}
 	}
 	return t
 }
 
-// forget drops works of which nothing was learnt for long, and those learnt of longest ago
-// where there are too many; never one in quarantine.
-func (r *Register) forget(now time.Time) {
-	for d, x := range r.works {
-		if end := x.until(); now.Sub(x.learnt) > rememberFor && now.Sub(end) > rememberFor {
+// evict drops works without an update during the retention period and, where there are still too
+// many, those with the oldest update; never one in quarantine.
+func (r *Register) evict(now time.Time) {
+	for d, w := range r.works {
+		if end := w.until(); now.Sub(w.updated) > retention && now.Sub(end) > retention {
 			delete(r.works, d)
 		}
 	}
-	for len(r.works) > worksMost {
+	for len(r.works) > maxWorks {
 		var oldest call.Digest
-		for d, x := range r.works {
-			if now.Before(x.until()) {
+		for d, w := range r.works {
+			if now.Before(w.until()) {
 				continue
 			}
-			if oldest == "" || x.learnt.Before(r.works[oldest].learnt) {
+			if oldest == "" || w.updated.Before(r.works[oldest].updated) {
 				oldest = d
 			}
 		}
--- a/quarantine/register_test.go
+++ b/quarantine/register_test.go
@@ -21,70 +21,72 @@
 
 const fatal call.Digest = "fatal"
 
-// ended is the word that a target ended under the work so long after begin.
+// ended returns the observation that a target ended under the work, at that time after begin.
 func ended(d call.Digest, target string, after time.Duration) quarantine.Observation {
 	return quarantine.Observation{Digest: d, Target: domain.InstanceID(target), At: begin.Add(after)}
 }
 
-// served is the word that the fatal work was served after all.
+// served returns the observation that the fatal work was served, at that time after begin.
 func served(after time.Duration) quarantine.Observation {
 	return quarantine.Observation{Digest: fatal, At: begin.Add(after)}
 }
 
-// taking gives the register the observations, each as it happens.
-func taking(r *quarantine.Register, observations ...quarantine.Observation) *quarantine.Register {
-	for _, w := range observations {
-		r.Observe(w.At, w)
+// observe adds the observations to the register, each at its own time.
+func observe(r *quarantine.Register, observations ...quarantine.Observation) *quarantine.Register {
+	for _, o := range observations {
+		r.Observe(o.At, o)
 	}
 	return r
 }
 
-// TestWhenWorkIsBarred: the incident was work that ended a target with each try; beside it ran
-// work that was hit once, or is asked for by many.
-func TestWhenWorkIsBarred(t *testing.T) {
+// TestRegisterQuarantinesWork guards against work that ends a target with each attempt, as happened
+// in an incident, and against a quarantine of harmless work that ran beside it: work that was hit
+// once, or that many callers send.
+func TestRegisterQuarantinesWork(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		observations []quarantine.Observation
-		at           time.Duration // of the question
-		want         time.Duration // end of its quarantine; 0 for none
+		at           time.Duration // when the register is queried
+		want         time.Duration // end of the quarantine; 0 for none
 	}{
-		{"nothing is known", nil, 0, 0},
+		{"no observations", nil, 0, 0},
 		{"one target ended", []quarantine.Observation{ended(fatal, "a", 0)}, 0, 0},
-		{"two ended", []quarantine.Observation{ended(fatal, "a", 0), ended(fatal, "b", time.Second)}, time.Second, 121 * time.Second},
-		{"one ended, told twice", []quarantine.Observation{ended(fatal, "a", 0), ended(fatal, "a", time.Second)}, time.Second, 0},
-		{"one target ended again under its id", []quarantine.Observation{ended(fatal, "a@1", 0), ended(fatal, "a@2", time.Second)}, time.Second, 121 * time.Second},
+		{"two targets ended", []quarantine.Observation{ended(fatal, "a", 0), ended(fatal, "b", time.Second)}, time.Second, 121 * time.Second},
+		{"one target ended, observed twice", []quarantine.Observation{ended(fatal, "a", 0), ended(fatal, "a", time.Second)}, time.Second, 0},
+		{"one target ended, restarted and ended again", []quarantine.Observation{ended(fatal, "a@1", 0), ended(fatal, "a@2", time.Second)}, time.Second, 121 * time.Second},
 		{"other work", []quarantine.Observation{ended(fatal, "a", 0), ended("other", "b", 0)}, 0, 0},
-		{"two ended, the quarantine is over", []quarantine.Observation{ended(fatal, "a", 0), ended(fatal, "b", 0)}, 2 * time.Minute, 0},
-		{"and a third ended then", []quarantine.Observation{ended(fatal, "a", 0), ended(fatal, "b", 0), ended(fatal, "c", 2*time.Minute)}, 2 * time.Minute, 22 * time.Minute},
-		{"and a fourth", []quarantine.Observation{ended(fatal, "a", 0), ended(fatal, "b", 0), ended(fatal, "c", 2*time.Minute), ended(fatal, "d", 22*time.Minute)},
+		{"two targets ended, quarantine over", []quarantine.Observation{ended(fatal, "a", 0), ended(fatal, "b", 0)}, 2 * time.Minute, 0},
+		{"a third target ended after the quarantine", []quarantine.Observation{ended(fatal, "a", 0), ended(fatal, "b", 0), ended(fatal, "c", 2*time.Minute)}, 2 * time.Minute, 22 * time.Minute},
+		{"a fourth target ended after the second quarantine", []quarantine.Observation{ended(fatal, "a", 0), ended(fatal, "b", 0), ended(fatal, "c", 2*time.Minute), ended(fatal, "d", 22*time.Minute)},
 			22 * time.Minute, 222 * time.Minute},
-		{"two ended, it was served between", []quarantine.Observation{ended(fatal, "a", 0), served(time.Second), ended(fatal, "b", 2*time.Second)}, 2 * time.Second, 0},
-		{"two ended, it was served after", []quarantine.Observation{ended(fatal, "a", 0), ended(fatal, "b", 0), served(time.Second)}, time.Second, 0},
-		{"served lately, three ended", []quarantine.Observation{served(0), ended(fatal, "a", time.Second), ended(fatal, "b", time.Second), ended(fatal, "c", time.Second)}, time.Second, 0},
-		{"served lately, four ended", []quarantine.Observation{served(0), ended(fatal, "a", time.Second), ended(fatal, "b", time.Second), ended(fatal, "c", time.Second), ended(fatal, "d", time.Second)},
+		{"two targets ended, served in between", []quarantine.Observation{ended(fatal, "a", 0), served(time.Second), ended(fatal, "b", 2*time.Second)}, 2 * time.Second, 0},
+		{"two targets ended, served afterwards", []quarantine.Observation{ended(fatal, "a", 0), ended(fatal, "b", 0), served(time.Second)}, time.Second, 0},
+		{"served recently, three targets ended", []quarantine.Observation{served(0), ended(fatal, "a", time.Second), ended(fatal, "b", time.Second), ended(fatal, "c", time.Second)}, time.Second, 0},
+		{"served recently, four targets ended", []quarantine.Observation{served(0), ended(fatal, "a", time.Second), ended(fatal, "b", time.Second), ended(fatal, "c", time.Second), ended(fatal, "d", time.Second)},
 			time.Second, 121 * time.Second},
-		{"served long ago, two ended", []quarantine.Observation{served(0), ended(fatal, "a", 2*time.Minute), ended(fatal, "b", 2*time.Minute)}, 2 * time.Minute, 4 * time.Minute},
-		{"served before two ended, told late", []quarantine.Observation{ended(fatal, "a", 2*time.Second), ended(fatal, "b", 2*time.Second), served(time.Second)}, 3 * time.Second, 0},
+		{"served long ago, two targets ended", []quarantine.Observation{served(0), ended(fatal, "a", 2*time.Minute), ended(fatal, "b", 2*time.Minute)}, 2 * time.Minute, 4 * time.Minute},
+		{"served before two targets ended, observed late", []quarantine.Observation{ended(fatal, "a", 2*time.Second), ended(fatal, "b", 2*time.Second), served(time.Second)}, 3 * time.Second, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := taking(quarantine.NewRegister(), tc.observations...)
-			until, barred := r.QuarantinedUntil(begin.Add(tc.at), fatal)
-			if barred != (tc.want > 0) {
-				t.Fatalf("barred %v, until %v", barred, until.Sub(begin))
+			r := observe(quarantine.NewRegister(), tc.observations...)
+			until, quarantined := r.QuarantinedUntil(begin.Add(tc.at), fatal)
+			if quarantined != (tc.want > 0) {
+				t.Fatalf("quarantined %v, until %v", quarantined, until.Sub(begin))
 			}
-			if barred && until.Sub(begin) != tc.want {
+			if quarantined && until.Sub(begin) != tc.want {
 				t.Errorf("until %v, want %v", until.Sub(begin), tc.want)
 			}
 		})
 	}
 }
 
-// TestWhatAWordChanges: boxes are told at once, and a line is logged, only of what is new.
-func TestWhatAWordChanges(t *testing.T) {
+// TestRegisterReportsChanges checks the change of each observation: only a new one is sent to other
+// boxes at once, and logged.
+func TestRegisterReportsChanges(t *testing.T) {
 	r := quarantine.NewRegister()
 	for i, tc := range []struct {
-		word quarantine.Observation
-		want quarantine.Change
+		observation quarantine.Observation
+		want        quarantine.Change
 	}{
 		{served(0), quarantine.Unchanged},
 		{ended(fatal, "a", 2*time.Minute), quarantine.Updated},
@@ -95,15 +97,15 @@
 		{served(3 * time.Minute), quarantine.Unchanged},
 		{ended(fatal, "d", time.Minute), quarantine.Unchanged},
 	} {
-		if got := r.Observe(tc.word.At, tc.word); got != tc.want {
-			t.Errorf("word %d changed %d, want %d", i, got, tc.want)
+		if got := r.Observe(tc.observation.At, tc.observation); got != tc.want {
+			t.Errorf("observation %d: change %d, want %d", i, got, tc.want)
 		}
 	}
 }
 
-// TestBoxesAgree: whatever the order in which two boxes hear what ended when, and however
-// often, they bar the same work until the same time.
-func TestBoxesAgree(t *testing.T) {
+// TestRegistersAgreeInAnyOrder checks that two boxes quarantine the same work until the same time,
+// in whatever order and however often they receive the observations.
+func TestRegistersAgreeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var observations []quarantine.Observation
 		for range rapid.IntRange(1, 12).Draw(rt, "observations") {
@@ -111,66 +113,67 @@
 			target := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(rt, "target")
 			observations = append(observations, ended(d, target, time.Duration(len(observations))*time.Second))
 		}
-		first := map[string]bool{} // a target ends once
-		kept := observations[:0]
-		for _, w := range observations {
-			if key := string(w.Digest) + string(w.Target); !first[key] {
-				first[key] = true
-				kept = append(kept, w)
+		seen := map[string]bool{} // a target ends once
+		unique := observations[:0]
+		for _, o := range observations {
+			if key := string(o.Digest) + string(o.Target); !seen[key] {
+				seen[key] = true
+				unique = append(unique, o)
 			}
 		}
-		one := taking(quarantine.NewRegister(), kept...)
+		one := observe(quarantine.NewRegister(), unique...)
 		other := quarantine.NewRegister()
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "order"), 0))
 		now := begin.Add(time.Minute)
 		for range 2 {
-			for _, i := range rnd.Perm(len(kept)) {
-				other.Observe(now, kept[i])
+			for _, i := range rnd.Perm(len(unique)) {
+				other.Observe(now, unique[i])
 			}
 		}
 		for _, d := range []call.Digest{"x", "y"} {
-			a, aBarred := one.QuarantinedUntil(now, d)
-			b, bBarred := other.QuarantinedUntil(now, d)
-			if !a.Equal(b) || aBarred != bBarred {
-				rt.Fatalf("%s: until %v, %v against %v, %v", d, a, aBarred, b, bBarred)
+			a, aQuarantined := one.QuarantinedUntil(now, d)
+			b, bQuarantined := other.QuarantinedUntil(now, d)
+			if !a.Equal(b) || aQuarantined != bQuarantined {
+				rt.Fatalf("%s: quarantined until %v, %v against %v, %v", d, a, aQuarantined, b, bQuarantined)
 			}
 		}
 	})
 }
 
-// TestABoxThatWasCutOffLearnsWhatIsBarred: of quarantines all is told now and then as long as
-// they last, of the rest only what is new, and never more than fits into a message.
-func TestABoxThatWasCutOffLearnsWhatIsBarred(t *testing.T) {
-	r := taking(quarantine.NewRegister(), ended(fatal, "a", 0), ended(fatal, "b", 0), ended("hit once", "a", 0))
+// TestLatestObservationsInformIsolatedBoxes checks that the observations of quarantines are sent as
+// long as these last, for boxes that were isolated, those of other work only while they are new,
+// and never more than fit into a message.
+func TestLatestObservationsInformIsolatedBoxes(t *testing.T) {
+	r := observe(quarantine.NewRegister(), ended(fatal, "a", 0), ended(fatal, "b", 0), ended("hit once", "a", 0))
 	now := begin.Add(time.Minute)
-	late := taking(quarantine.NewRegister())
-	for _, w := range r.Latest(now, true) {
-		late.Observe(now, w)
+	late := observe(quarantine.NewRegister())
+	for _, o := range r.Latest(now, true) {
+		late.Observe(now, o)
 	}
-	if _, barred := late.QuarantinedUntil(now, fatal); !barred {
-		t.Error("a box that was cut off does not know of the quarantine")
+	if _, quarantined := late.QuarantinedUntil(now, fatal); !quarantined {
+		t.Error("a box that was isolated does not have the quarantine")
 	}
 	if n := len(r.Latest(now, true)); n != 2 {
-		t.Errorf("%d observations are told, of two ended targets", n)
+		t.Errorf("%d observations are sent, want those of two ended targets", n)
 	}
 	if n := len(r.Latest(now, false)); n != 0 {
-		t.Errorf("%d observations are told over and over", n)
+		t.Errorf("%d old observations are sent again, want none", n)
 	}
 	if n := len(r.Latest(begin.Add(time.Second), false)); n != 3 {
-		t.Errorf("%d observations are told while all is new", n)
+		t.Errorf("%d observations are sent while all are new, want 3", n)
 	}
 	for i := range 100 {
 		r.Observe(now, ended(call.Digest(fmt.Sprint("hit ", i)), "c", time.Minute))
 	}
 	if n := len(r.Latest(now, true)); n != 40 {
-		t.Errorf("%d observations in a message", n)
+		t.Errorf("%d observations in a message, want 40", n)
 	}
 }
 
-// TestARegisterIsBounded: a storm that hits thousands of works does not fill the box's
-// memory, and does not push out what is in quarantine.
-func TestARegisterIsBounded(t *testing.T) {
-	r := taking(quarantine.NewRegister(), ended(fatal, "a", 0), ended(fatal, "b", 0))
+// TestRegisterIsBounded guards against targets that end under thousands of works and so fill the
+// box's memory, or evict works that are in quarantine.
+func TestRegisterIsBounded(t *testing.T) {
+	r := observe(quarantine.NewRegister(), ended(fatal, "a", 0), ended(fatal, "b", 0))
 	const most = 1024
 	for i := range 3 * most {
 		at := time.Duration(i) * time.Millisecond
@@ -181,40 +184,40 @@
 		known += r.EndedTargets(call.Digest(fmt.Sprint("hit ", i)))
 	}
 	if known > most {
-		t.Errorf("%d works are remembered", known)
+		t.Errorf("%d works are remembered, want at most 1024", known)
 	}
-	if _, barred := r.QuarantinedUntil(begin.Add(time.Minute), fatal); !barred {
-		t.Error("the quarantine was forgotten")
+	if _, quarantined := r.QuarantinedUntil(begin.Add(time.Minute), fatal); !quarantined {
+		t.Error("the work in quarantine was evicted")
 	}
 }
 
-// TestARecordBringsAQuarantineBack: what the store keeps is enough for a box that knows
-// nothing, until it is over.
-func TestARecordBringsAQuarantineBack(t *testing.T) {
-	r := taking(quarantine.NewRegister(), ended(fatal, "a@7", 0), ended(fatal, "b", time.Second))
+// TestRecordRestoresQuarantine checks that a stored record gives a box without observations the same
+// quarantine, until it expires, and that invalid records are rejected.
+func TestRecordRestoresQuarantine(t *testing.T) {
+	r := observe(quarantine.NewRegister(), ended(fatal, "a@7", 0), ended(fatal, "b", time.Second))
 	raw, err := json.Marshal(quarantine.NewRecord(r.Observations(fatal)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back quarantine.Record
-	if err := json.Unmarshal(raw, &back); err != nil {
+	var restored quarantine.Record
+	if err := json.Unmarshal(raw, &restored); err != nil {
 		t.Fatal(err)
 	}
 	now := begin.Add(time.Minute)
 	other := quarantine.NewRegister()
-	for _, w := range back.Observations(now, now) {
-		other.Observe(now, w)
+	for _, o := range restored.Observations(now, now) {
+		other.Observe(now, o)
 	}
-	until, barred := other.QuarantinedUntil(now, fatal)
-	if want, _ := r.QuarantinedUntil(now, fatal); !barred || !until.Equal(want) {
-		t.Errorf("barred %v until %v, want %v", barred, until, want)
+	until, quarantined := other.QuarantinedUntil(now, fatal)
+	if want, _ := r.QuarantinedUntil(now, fatal); !quarantined || !until.Equal(want) {
+		t.Errorf("quarantined %v until %v, want %v", quarantined, until, want)
 	}
-	if back.Expired(begin.Add(time.Hour)) || !back.Expired(begin.Add(2*time.Hour)) {
-		t.Error("the record is over too early, or never")
+	if restored.Expired(begin.Add(time.Hour)) || !restored.Expired(begin.Add(2*time.Hour)) {
+		t.Error("the record expires too early, or never")
 	}
 	for _, bad := range []string{"", "{}", `{"digest":"x"}`, `{"digest":"","ended":{"a":1}}`, `{"digest":"x","ended":[]}`} {
-		if json.Unmarshal([]byte(bad), &back) == nil {
-			t.Errorf("%q was taken", bad)
+		if json.Unmarshal([]byte(bad), &restored) == nil {
+			t.Errorf("invalid record %q was accepted", bad)
 		}
 	}
 }
--- a/store/follow/follower.go
+++ b/store/follow/follower.go
@@ -47,7 +47,7 @@
 
 func (List) command()  {}
 func (Watch) command() {}
-func (Sleep) command()  {}
+func (Sleep) command() {}
 
 // Follower is the machine. It is not safe for concurrent use.
 type Follower struct {
