--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -6,10 +6,10 @@
 	"clovertrail.dev/core/domain"
 )
 
-// Version numbers the operator's configurations. It grows by uneven steps.
+// Version is the operator's number of a configuration. It increases by uneven steps.
 type Version uint64
 
-// Document is a whole configuration as an adapter decodes it.
+// Document is a complete configuration, as decoded by an adapter.
 type Document struct {
 	Version       Version
 	Routes        []Route
@@ -18,7 +18,7 @@
 	Limits        Limits
 }
 
-// Catalog is one configuration, indexed. It is not changed once made.
+// Catalog is the index of one configuration. It is immutable.
 type Catalog struct {
 	version  Version
 	hosts    map[string]map[string]Route // by host, then by prefix
@@ -27,8 +27,8 @@
 	limits   Limits
 }
 
-// New indexes a document. Where two routes have the same host and prefix, or two
-// organisations the same key, it is refused.
+// New indexes a document. It returns an error if two routes have the same host and prefix, or two
+// organisations the same key.
 func New(d Document) (*Catalog, error) {
 	c := &Catalog{
 		version:  d.Version,
@@ -59,8 +59,8 @@
 		byPrefix = map[string]Route{}
 		c.hosts[r.f.Host] = byPrefix
 	}
-	if other, taken := byPrefix[r.f.Prefix]; taken {
-		return bad("prefix", "routes %q and %q have the same host and prefix", other.Name(), r.Name())
+	if other, exists := byPrefix[r.f.Prefix]; exists {
+		return invalid("prefix", "routes %q and %q have the same host and prefix", other.Name(), r.Name())
 	}
 	byPrefix[r.f.Prefix] = r
 	return nil
@@ -68,21 +68,20 @@
 
 func (c *Catalog) addOrganisation(o Organisation) error {
 	for _, k := range o.Keys {
-		if other, taken := c.byKey[k]; taken && other.Name != o.Name {
-			return bad("keys", "organisations %q and %q have the same key", other.Name, o.Name)
+		if other, exists := c.byKey[k]; exists && other.Name != o.Name {
+			return invalid("keys", "organisations %q and %q have the same key", other.Name, o.Name)
 		}
 		c.byKey[k] = o
 	}
 	return nil
 }
 
-// Version is the operator's number of this configuration.
 func (c *Catalog) Version() Version { return c.version }
 
-// Limits bound what callers may send.
+// Limits returns the bounds of what callers may send.
 func (c *Catalog) Limits() Limits { return c.limits }
 
-// Match finds the route of the host with the longest prefix that begins the path.
+// Match returns the route of the host with the longest prefix of the path.
 func (c *Catalog) Match(host, path string) (Route, bool) {
 	byPrefix, ok := c.hosts[host]
 	if !ok {
@@ -96,7 +95,7 @@
 	return Route{}, false
 }
 
-// Organisation finds the holder of a key.
+// Organisation returns the organisation that the key belongs to.
 func (c *Catalog) Organisation(key string) (Organisation, bool) {
 	if key == "" {
 		return Organisation{}, false
@@ -105,7 +104,7 @@
 	return o, ok
 }
 
-// Service is what is known of a service; false if it is not configured.
+// Service returns the properties of a service; false if it is not configured.
 func (c *Catalog) Service(name domain.ServiceName) (Service, bool) {
 	s, ok := c.services[name]
 	return s, ok
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -24,7 +24,7 @@
 	return r
 }
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
+func TestMatchPrefersLongestPrefix(t *testing.T) {
 	c, err := catalog.New(catalog.Document{Routes: []catalog.Route{
 		route(t, "all", "a.example", "/"), route(t, "one", "a.example", "/x/"),
 		route(t, "two", "a.example", "/x/y/"), route(t, "other", "b.example", "/x/"),
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestBadRoutesAreNamed(t *testing.T) {
+func TestInvalidRouteErrorNamesField(t *testing.T) {
 	good := catalog.RouteFields{
 		Name: "r", Host: "h", Prefix: "/p/", Kind: catalog.Once, Timeout: time.Second,
 		Backends: []catalog.Backend{{Service: "s", Weight: 1}},
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestBackendsShareByWeight(t *testing.T) {
+func TestSelectServiceFollowsWeights(t *testing.T) {
 	r, err := catalog.NewRoute(catalog.RouteFields{
 		Name: "r", Host: "h", Prefix: "/", Kind: catalog.Once, Timeout: time.Second,
 		Backends: []catalog.Backend{{Service: "a", Weight: 90}, {Service: "none", Weight: 0}, {Service: "b", Weight: 10}},
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestWhatMayBeRepeated(t *testing.T) {
+func TestRouteKindLimitsRepeatAndResume(t *testing.T) {
 	tests := []struct {
 		kind           catalog.Kind
 		resumable      bool
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestAmbiguousDocumentsAreRefused(t *testing.T) {
+func TestAmbiguousDocumentsAreRejected(t *testing.T) {
 	tests := map[string]catalog.Document{
 		"prefix": {Routes: []catalog.Route{route(t, "a", "h", "/x/"), route(t, "b", "h", "/x/")}},
 		"keys":   {Organisations: []catalog.Organisation{{Name: "a", Keys: []string{"k"}}, {Name: "b", Keys: []string{"k"}}}},
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestKeysFindTheirHolder(t *testing.T) {
+func TestOrganisationIsFoundByKey(t *testing.T) {
 	c, err := catalog.New(catalog.Document{Organisations: []catalog.Organisation{{Name: "a", Keys: []string{"k1", "k2"}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestHolderNeverGoesBack offers documents in any order, with repetitions and one
-// that does not decode.
-func TestHolderNeverGoesBack(t *testing.T) {
+// TestHolderNeverReverts offers documents out of order, with repetitions and documents that cannot
+// be decoded.
+func TestHolderNeverReverts(t *testing.T) {
 	decode := func(raw []byte) (*catalog.Catalog, error) {
 		var v catalog.Version
 		if _, err := fmt.Sscan(string(raw), &v); err != nil {
@@ -157,31 +157,31 @@
 		return catalog.New(catalog.Document{Version: v})
 	}
 	tests := []struct {
-		raw   string
-		rev   store.Revision
-		moved bool
-		fails bool
-		now   catalog.Version
+		raw     string
+		rev     store.Revision
+		changed bool
+		fails   bool
+		inForce catalog.Version
 	}{
 		{"bad", 3, false, true, 0},
 		{"10", 3, true, false, 10},
 		{"10", 3, false, false, 10},
 		{"7", 2, false, false, 10},
 		{"bad", 9, false, true, 10},
-		{"12", 8, true, false, 12}, // the bad one did not count
+		{"12", 8, true, false, 12}, // the document that failed was ignored
 		{"10", 3, false, false, 12},
 	}
 	var h catalog.Holder
 	if h.Current() != nil {
-		t.Error("a holder that met nothing has a catalog")
+		t.Error("a holder without documents has a catalog")
 	}
 	for i, tc := range tests {
-		moved, err := h.Offer([]byte(tc.raw), store.PositionOf(1, tc.rev), decode)
-		if moved != tc.moved || (err != nil) != tc.fails {
-			t.Errorf("%d: moved %v, %v", i, moved, err)
+		changed, err := h.Offer([]byte(tc.raw), store.PositionOf(1, tc.rev), decode)
+		if changed != tc.changed || (err != nil) != tc.fails {
+			t.Errorf("%d: changed %v, want %v, error %v", i, changed, tc.changed, err)
 		}
-		if c := h.Current(); c != nil && c.Version() != tc.now || c == nil && tc.now != 0 {
-			t.Errorf("%d: in force %v, want %d", i, c, tc.now)
+		if c := h.Current(); c != nil && c.Version() != tc.inForce || c == nil && tc.inForce != 0 {
+			t.Errorf("%d: in force %v, want %d", i, c, tc.inForce)
 		}
 	}
 }
@@ -197,23 +197,23 @@
 	// Output: advice true
 }
 
-// TestAnOlderCopyDoesNotRevertTheConfiguration guards against an earlier version that comes into
-// force because the store, restored from a copy, has it at a later position.
-func TestAnOlderCopyDoesNotRevertTheConfiguration(t *testing.T) {
+// TestRestoredStoreDoesNotRevertConfiguration guards against an earlier version that comes into
+// force because the store, restored from a backup, has it at a later position.
+func TestRestoredStoreDoesNotRevertConfiguration(t *testing.T) {
 	steps := []struct {
 		version catalog.Version
 		at      store.Position
-		moved   bool
+		changed bool
 	}{
 		{88, store.PositionOf(1, 63), true},
-		{86, store.PositionOf(2, 60), false}, // the copy
+		{86, store.PositionOf(2, 60), false}, // the backup
 		{88, store.PositionOf(2, 61), false}, // written again
 		{90, store.PositionOf(2, 62), true},
-		{89, store.PositionOf(1, 64), false}, // a late answer
+		{89, store.PositionOf(1, 64), false}, // a delayed response
 		{88, store.PositionOf(3, 10), false},
 		{90, store.PositionOf(3, 11), false},
 		{92, store.PositionOf(3, 12), true},
-		{96, store.PositionOf(0, 5), true}, // no era is known
+		{96, store.PositionOf(0, 5), true}, // unknown era
 	}
 	decode := func(raw []byte) (*catalog.Catalog, error) {
 		var v catalog.Version
@@ -226,9 +226,9 @@
 	var h catalog.Holder
 	highest := catalog.Version(0)
 	for _, s := range steps {
-		moved, err := h.Offer([]byte(fmt.Sprint(s.version)), s.at, decode)
-		if err != nil || moved != s.moved {
-			t.Errorf("version %d at %v: in force %v, %v", s.version, s.at, moved, err)
+		changed, err := h.Offer([]byte(fmt.Sprint(s.version)), s.at, decode)
+		if err != nil || changed != s.changed {
+			t.Errorf("version %d at %v: changed %v, want %v, error %v", s.version, s.at, changed, s.changed, err)
 		}
 		highest = max(highest, s.version)
 		if v := h.Current().Version(); v != highest && s.version != 89 {
--- a/catalog/holder.go
+++ b/catalog/holder.go
@@ -6,20 +6,20 @@
 	"clovertrail.dev/store"
 )
 
-// Holder keeps the latest edition of the configuration that a box has received, whoever offered
-// it. It is not safe for concurrent use.
+// Holder holds the latest edition of the configuration that a box has received, whatever its
+// source. It is not safe for concurrent use.
 type Holder struct {
 	current *Catalog
 	edition Edition
-	raw     []byte
+	raw     []byte // the current document as stored
 }
 
-// Decode turns a document as the store keeps it into a catalog.
+// Decode decodes a stored document into a catalog.
 type Decode func(raw []byte) (*Catalog, error)
 
-// Offer takes a document with the position at which the store has it, and reports
-// whether it is now in force. An earlier edition, or the same again, is passed over. One
-// that does not decode is an error, and what was in force stays so.
+// Offer decodes a document read at the position of the store, and reports whether it is newly in
+// force. An earlier edition, and the document already in force, are ignored. If the document cannot
+// be decoded, Offer returns the error and the current configuration stays in force.
 func (h *Holder) Offer(raw []byte, at store.Position, decode Decode) (bool, error) {
 	if h.current != nil && bytes.Equal(raw, h.raw) {
 		h.edition.At = store.Later(h.edition.At, at)
@@ -37,11 +37,11 @@
 	return true, nil
 }
 
-// Current is the catalog in force, or nil before the first.
+// Current returns the catalog in force, or nil if no document was accepted yet.
 func (h *Holder) Current() *Catalog { return h.current }
 
-// Edition is that of the document in force; zero before the first.
+// Edition returns the edition of the document in force; zero if no document was accepted yet.
 func (h *Holder) Edition() Edition { return h.edition }
 
-// Raw is the document in force as the store keeps it; it must not be changed.
+// Raw returns the document in force as stored; it must not be modified.
 func (h *Holder) Raw() []byte { return h.raw }
--- a/catalog/route.go
+++ b/catalog/route.go
@@ -8,7 +8,7 @@
 	"clovertrail.dev/core/fault"
 )
 
-// Kind states what may be repeated of a route's requests.
+// Kind states how often a request of a route may run.
 type Kind int
 
 // The kinds of route.
@@ -18,11 +18,10 @@
 	// Repeatable: a request may run more than once.
 	Repeatable
 	// Stream: the answer is a series of events. A request runs at most once unless
-	// the route reports that its streams may be resumed.
+	// the route's streams are resumable.
 	Stream
 )
 
-// String gives the name of the kind.
 func (k Kind) String() string {
 	switch k {
 	case Once:
@@ -36,102 +35,104 @@
 	}
 }
 
-// Backend is a service that gets a share of a route's requests.
+// Backend is a service that receives a share of a route's requests, in proportion to its weight.
 type Backend struct {
 	Service domain.ServiceName
 	Weight  float64
 }
 
-// RouteFields are what a Route is made of.
+// RouteFields are the properties of a Route.
 type RouteFields struct {
 	Name              string
 	Host              string
 	Prefix            string // begins and ends with a slash
 	Kind              Kind
-	Timeout           time.Duration // from arrival to the final answer
-	LatencyObjective  time.Duration // within which an answer is in time
-	EventGapObjective time.Duration // longest pause between events of an answer in time; 0 for none
+	Timeout           time.Duration // maximum time from the arrival of a request to its final answer
+	LatencyObjective  time.Duration // time within which an answer, or a stream's first event, is due
+	EventGapObjective time.Duration // longest acceptable pause between events of a stream; 0 for none
 	Priority          int           // 0 is the most urgent
-	MaxAttempts       int           // targets that one request may be sent to
-	Public            bool          // needs no key
-	// Resumable reports that a stream may be taken up by another target after its
-	// last whole event.
+	MaxAttempts       int           // number of targets that one request may be sent to
+	Public            bool          // requests need no key
+	// Resumable states that another target may continue a stream after its last complete
+	// event.
 	Resumable bool
 	Backends  []Backend
 }
 
-// Route states how requests for a host and the beginning of a path are served.
+// Route states how requests for a host and a path prefix are served.
 type Route struct {
-	f     RouteFields
-	total float64 // of the weights
+	f           RouteFields
+	totalWeight float64
 }
 
-// NewRoute returns a checked route.
+// NewRoute validates the fields and returns the route.
 func NewRoute(f RouteFields) (Route, error) {
 	switch {
 	case f.Host == "":
-		return Route{}, bad("host", "route %q: missing", f.Name)
+		return Route{}, invalid("host", "route %q: host is missing", f.Name)
 	case !strings.HasPrefix(f.Prefix, "/") || !strings.HasSuffix(f.Prefix, "/"):
-		return Route{}, bad("prefix", "route %q: %q does not begin and end with a slash", f.Name, f.Prefix)
+		return Route{}, invalid("prefix", "route %q: prefix %q does not begin and end with a slash", f.Name, f.Prefix)
 	case f.Kind < Once || f.Kind > Stream:
-		return Route{}, bad("kind", "route %q: unknown kind", f.Name)
+		return Route{}, invalid("kind", "route %q: unknown kind %d", f.Name, int(f.Kind))
 	case f.Timeout <= 0:
-		return Route{}, bad("timeout", "route %q: %v is not positive", f.Name, f.Timeout)
+		return Route{}, invalid("timeout", "route %q: timeout %v is not positive", f.Name, f.Timeout)
 	}
 	f.MaxAttempts = max(f.MaxAttempts, 1)
 	r := Route{f: f}
 	for _, b := range f.Backends {
 		if b.Service == "" || b.Weight < 0 {
-			return Route{}, bad("backends", "route %q: service %q with weight %v", f.Name, b.Service, b.Weight)
+			return Route{}, invalid("backends", "route %q: backend with service %q and weight %v, want a name and no negative weight", f.Name, b.Service, b.Weight)
 		}
-		r.total += b.Weight
+		r.totalWeight += b.Weight
 	}
-	if r.total <= 0 {
-		return Route{}, bad("backends", "route %q: no service has a weight", f.Name)
+	if r.totalWeight <= 0 {
+		return Route{}, invalid("backends", "route %q: no backend has a positive weight", f.Name)
 	}
 	return r, nil
 }
 
-func bad(field, format string, args ...any) error {
+// invalid returns the error for an invalid field of the configuration.
+func invalid(field, format string, args ...any) error {
 	return fault.New(fault.InvalidObject, format, args...).Field(field)
 }
 
-// Name is the operator's name for the route.
+// Name returns the operator's name of the route.
 func (r Route) Name() string { return r.f.Name }
 
-// Kind states what may be repeated.
+// Kind states how often a request may run.
 func (r Route) Kind() Kind { return r.f.Kind }
 
-// Timeout is how long a request may be held before its final answer.
+// Timeout returns the maximum time from the arrival of a request to its final answer.
 func (r Route) Timeout() time.Duration { return r.f.Timeout }
 
-// LatencyObjective is the time within which an answer, or a stream's first event, is in time.
+// LatencyObjective returns the time within which an answer, or a stream's first event, is due.
 func (r Route) LatencyObjective() time.Duration { return r.f.LatencyObjective }
 
-// EventGapObjective is the longest pause between events of a stream in time; 0 for none.
+// EventGapObjective returns the longest acceptable pause between events of a stream; 0 for none.
 func (r Route) EventGapObjective() time.Duration { return r.f.EventGapObjective }
 
-// Priority is the rank of its requests; 0 is the most urgent.
+// Priority returns the priority of the route's requests; 0 is the most urgent.
 func (r Route) Priority() int { return r.f.Priority }
 
-// MaxAttempts is how many targets one request may be sent to.
+// MaxAttempts returns the number of targets that one request may be sent to.
 func (r Route) MaxAttempts() int { return r.f.MaxAttempts }
 
-// Public reports that its requests need no key.
+// Public reports whether requests need no key.
 func (r Route) Public() bool { return r.f.Public }
 
-// MayRepeat reports whether a request may run more than once from its beginning. A
-// stream that may be resumed may also be run anew before its first event.
+// MayRepeat reports whether a request may run more than once from its beginning. A resumable stream
+// may also be restarted before its first event.
 func (r Route) MayRepeat() bool { return r.f.Kind == Repeatable || r.MayResume() }
 
-// MayResume reports whether a broken stream may be taken up by another target.
+// MayResume reports whether another target may continue an interrupted stream.
 func (r Route) MayResume() bool { return r.f.Kind == Stream && r.f.Resumable }
 
-// SelectService chooses the service for one request; draw is from 0 up to 1.
+// SelectService returns the service for one request, chosen by weight; draw is a random number in
+// [0, 1).
 func (r Route) SelectService(draw float64) domain.ServiceName {
-	left := draw * r.total
+	remaining := draw * r.totalWeight
 	for _, b := range r.f.Backends {
-		if left -= b.Weight; left < 0 {
+		if remaining -= b.Weight; remaining < 0 {
 			return b.Service
 		}
 	}
--- a/catalog/service.go
+++ b/catalog/service.go
@@ -6,54 +6,55 @@
 	"clovertrail.dev/core/domain"
 )
 
-// Organisation is a customer as requests see it.
+// Organisation is a customer, identified by the keys of its requests.
 type Organisation struct {
 	Name     domain.OrganisationName
 	Keys     []string
-	Priority int // 0 is the most urgent; goes before the route's
+	Priority int // 0 is the most urgent; takes precedence over the route's priority
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound the size of a caller's requests and the time to send them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
-	HeaderTimeout time.Duration // to send the whole head
-	IdleTimeout   time.Duration // a connection may rest
+	HeaderTimeout time.Duration // maximum time to send the complete header
+	IdleTimeout   time.Duration // maximum time that a connection may be idle
 }
 
-// DefaultLimits hold until a configuration sets others. They are the customary
-// ones of HTTP servers.
+// DefaultLimits returns the limits in force until a configuration sets others. They are customary
+// for HTTP servers.
 func DefaultLimits() Limits {
 	return Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 }
 
-// Engine is what a service's model engines cost and hold.
+// Engine describes the step times and the expert layout of a service's model engines.
 type Engine struct {
-	StepTime              time.Duration // one token step of a pass
-	StepTimePerRequest    time.Duration // more for each request that writes
-	PromptTokensPerSecond float64       // prompt tokens read a second
-	StepsPerPass          int           // token steps in a pass with writers
+	StepTime              time.Duration // duration of one token step of a pass
+	StepTimePerRequest    time.Duration // added to StepTime for each request that generates tokens
+	PromptTokensPerSecond float64       // rate of prompt processing
+	StepsPerPass          int           // token steps in a pass with generating requests
 	Experts               *Experts      // nil for engines without expert groups
 }
 
-// Experts is the shape of the expert maps of a service's groups.
+// Experts describes the dimensions of the expert maps of a service's groups, and the cost of changing
+// them.
 type Experts struct {
-	Layers   int // sets of experts that are placed by themselves
-	PerLayer int // experts of a layer
-	Slots    int // experts of a layer that a rank holds at the most
-	// Staging is how many experts of a layer, new to it, a rank takes in at once.
+	Layers   int // sets of experts that are placed independently of each other
+	PerLayer int // experts in a layer
+	Slots    int // maximum number of experts of a layer on a rank
+	// Staging is the number of new experts of a layer that a rank can copy in at once.
 	Staging int
-	// CopyTime is how long a rank takes to copy in one expert.
+	// CopyTime is the time in which a rank copies in one expert.
 	CopyTime time.Duration
-	// Share is the part of the work that goes to experts, from 0 to 1.
+	// Share is the fraction of the work that experts do, from 0 to 1.
 	Share float64
-	// FormTime is how long a group takes to open after its last rank is back.
+	// FormTime is the time from the return of a group's last rank until the group opens.
 	FormTime time.Duration
 }
 
-// Service is what stands behind routes.
+// Service describes a service that routes send requests to.
 type Service struct {
 	Name           domain.ServiceName
-	MaxConnections int     // that a target takes from all boxes together; 0 for no bound
-	Engine         *Engine // nil for a plain service
+	MaxConnections int     // connections that a target accepts from all boxes together; 0 for no limit
+	Engine         *Engine // nil for a service without model engines
 }
