--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -76,6 +76,7 @@
 	return nil
 }
 
+// Version returns the operator's number of the configuration.
 func (c *Catalog) Version() Version { return c.version }
 
 // Limits returns the bounds of what callers may send.
--- a/store/feed.go
+++ b/store/feed.go
@@ -1,17 +1,17 @@
-// Package store is the narrow interface through which clovertrail follows the platform's
-// object store.
+// Package store is the narrow interface through which clovertrail reads and writes records in the
+// platform's object store.
 //
-// The store keeps versioned objects by kind and lets a client wait for changes. Each
-// call counts against its rates, a waiting one too; it has outages, and it may forget
-// its history. Decisions never see this package: they are handed values and hand back
-// commands (store/follow states when to list and when to watch).
+// The store holds versioned objects by kind and lets a client wait for changes. Each call counts
+// against its rate limits, including one that waits; the store has outages, and it may discard its
+// history. Code that makes decisions does not depend on the Feed: it receives values and returns
+// commands (package store/follow decides when to list and when to watch).
 //
 // # Usage
 //
 //	l, err := feed.List(ctx, kind)
 //	c, err := feed.Watch(ctx, kind, l.At, wait)
 //	if errors.Is(err, store.ErrHistoryLost) {
-//		// list anew
+//		// list again
 //	}
 package store
 
@@ -22,12 +22,12 @@
 	"github.com/zeebo/errs"
 )
 
-// Revision numbers the changes of the whole store. It rises by one with each, and goes back when
-// the store comes back from a copy; a Position orders those of different eras.
+// Revision numbers the changes of the whole store. It increases by one with each change, and
+// decreases when the store is restored from a backup; a Position orders revisions of different eras.
 type Revision uint64
 
-// Era numbers the lives of the store. It rises by one each time the store comes back from a
-// copy, after which revisions are given out again. Zero stands for an era that is not stated.
+// Era counts the restores of the store. It increases by one each time the store is restored from a
+// backup, after which revisions are issued a second time. Zero stands for an era that is not stated.
 type Era uint64
 
 // Kind names a kind of record.
@@ -37,64 +37,65 @@
 
 // The errors of a Feed. Any other error is a fault of the adapter.
 var (
-	// ErrHistoryLost reports that changes since a revision are no longer to be had; the
-	// kind must be listed anew.
+	// ErrHistoryLost reports that the store no longer has the changes since a revision; the
+	// kind must be listed again.
 	ErrHistoryLost = class.New("history lost")
-	// ErrUnavailable: the store cannot be reached, or turns the call away.
+	// ErrUnavailable reports that the store cannot be reached, or rejects the call.
 	ErrUnavailable = class.New("unavailable")
-	// ErrRateLimited: there were too many calls.
+	// ErrRateLimited reports that there were too many calls.
 	ErrRateLimited = class.New("rate limited")
-	// ErrExists reports that a record of the name is there already.
+	// ErrExists reports that a record of the name exists already.
 	ErrExists = class.New("exists")
 )
 
-// Record is an object as the store keeps it, with the body that its writer gave.
+// Record is an object of the store, with the body that its writer supplied.
 type Record struct {
 	Kind Kind
 	Name string
-	At   Position // of its last change
-	Spec []byte   // nil if the record cannot be read
+	At   Position // position of the last change of the record
+	Spec []byte   // nil if the body cannot be read
 }
 
-// Listing is all records of a kind at a position. The era of the positions is zero if the answer
+// Listing holds all records of a kind at a position. The era of the positions is zero if the response
 // does not state it.
 type Listing struct {
 	Records []Record
 	At      Position
-	// Nameless is how many records cannot even tell their names.
+	// Nameless is the number of records so damaged that even their names cannot be read.
 	Nameless int
 }
 
-// Event is a change of one record. A removed one has no Spec.
+// Event is a change of one record. The record has no Spec if it was removed.
 type Event struct {
 	Record  Record
 	Removed bool
 }
 
-// Changes are the events of a kind after a position, oldest first, up to another. In a later era
-// they are those after the revision of the same number. The era is zero if it is not stated.
+// Changes holds the events of a kind after one position and up to another (At), oldest first. If At
+// is in a later era, they are the events after the revision of the same number in that era. The era
+// is zero if the response does not state it.
 type Changes struct {
 	Events []Event
 	At     Position
 }
 
-// Feed is how a box follows a kind of record. Every call counts against the
-// store's rates, a waiting one too.
+// Feed lists and watches the records of a kind. Every call counts against the rate limits of the
+// store, including one that waits.
 type Feed interface {
-	// List returns the whole kind as it is now.
+	// List returns all current records of the kind.
 	List(ctx context.Context, kind Kind) (Listing, error)
-	// Watch waits until the kind changes after the position, at most for wait, and
-	// returns what changed; nothing if the wait ended first. It returns
-	// ErrHistoryLost if the store has forgotten changes since then.
+	// Watch waits until the kind changes after the position, at most for wait, and returns the
+	// changes; without events if the wait ended first. It returns ErrHistoryLost if the store
+	// has discarded changes since the position.
 	Watch(ctx context.Context, kind Kind, since Position, wait time.Duration) (Changes, error)
 }
 
-// RecordStore keeps records of the system's own kinds. A call without an answer may have been done,
-// or may be done later; it may be made again.
+// RecordStore is a Feed that can also create and remove records, for the system's own kinds. A call
+// without a response may have been executed, or may be executed later; it may be repeated.
 type RecordStore interface {
 	Feed
-	// Create keeps a record that is not there yet; ErrExists if one of the name is.
+	// Create stores a new record; ErrExists if one of the name exists.
 	Create(ctx context.Context, kind Kind, name string, spec []byte) error
-	// Remove takes a record away; one that is not there counts as taken away.
+	// Remove deletes a record; it succeeds if there is none of the name.
 	Remove(ctx context.Context, kind Kind, name string) error
 }
--- a/store/position.go
+++ b/store/position.go
@@ -7,9 +7,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Position is a moment in the history of the store: a revision within an era. It is the only
-// order of what different answers of the store report: revisions of different eras cannot be
-// compared by themselves. The zero Position comes before all others.
+// Position is a point in the history of the store: a revision within an era. The content of
+// different responses of the store can be ordered by position only, as revisions of different eras
+// are not comparable. The zero Position comes before all others.
 type Position struct {
 	era      Era
 	revision Revision
@@ -18,16 +18,17 @@
 // PositionOf returns the position of the revision in the era.
 func PositionOf(e Era, r Revision) Position { return Position{era: e, revision: r} }
 
-// Era is the era of the position; zero if it is not known.
+// Era returns the era; zero if it is unknown.
 func (p Position) Era() Era { return p.era }
 
-// Revision is the store's own number, for calls to the store within the era.
+// Revision returns the store's own number, for calls to the store within the era.
 func (p Position) Revision() Revision { return p.revision }
 
-// IsZero reports whether nothing is known up to this position.
+// IsZero reports whether this is the zero Position, which comes before all others.
 func (p Position) IsZero() bool { return p == Position{} }
 
-// Compare is negative if the position comes before the other, and positive if it comes after it.
+// Compare returns a negative number if the position comes before the other, zero if they are equal,
+// and a positive number if it comes after the other.
 func (p Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(p.era, other.era), cmp.Compare(p.revision, other.revision))
 }
@@ -35,7 +36,7 @@
 // After reports whether the position comes after the other.
 func (p Position) After(other Position) bool { return p.Compare(other) > 0 }
 
-// String writes the era and the revision.
+// String returns the era and the revision, separated by a slash.
 func (p Position) String() string { return fmt.Sprintf("%d/%d", p.era, p.revision) }
 
 // Later returns the later of two positions.
@@ -58,7 +59,7 @@
 		return class.Wrap(err)
 	}
 	if len(numbers) != 2 {
-		return class.New("a position has an era and a revision, got %d numbers", len(numbers))
+		return class.New("decoding a store position: got %d numbers, want an era and a revision", len(numbers))
 	}
 	*p = PositionOf(Era(numbers[0]), Revision(numbers[1]))
 	return nil
