--- a/store/follow/follower.go
+++ b/store/follow/follower.go
@@ -8,172 +8,172 @@
 	"clovertrail.dev/store"
 )
 
-// Timing holds the times of a Follower.
+// Timing configures the waits and pauses of a Follower.
 type Timing struct {
-	// Wait is how long a watch of a box that is alone waits for a change. A watch that
-	// the store has silently dropped goes unnoticed for so long.
+	// Wait is how long a watch waits for a change if the box has no peers. A watch that the
+	// store has silently dropped goes unnoticed for that long.
 	Wait time.Duration
-	// MaxWait bounds the wait of a box among many.
+	// MaxWait is the maximum wait of a box with many peers.
 	MaxWait time.Duration
-	// MinBackoff is the pause after a first failure; each further one doubles it, up
-	// to MaxBackoff. Each pause is spread by half of itself either way.
+	// MinBackoff is the pause after a first failure; each further failure doubles it, up to
+	// MaxBackoff. Each pause is jittered by up to half of its length either way.
 	MinBackoff, MaxBackoff time.Duration
-	// MaxStartDelay bounds the pause of a box that starts before it lists, drawn by chance: where
-	// others tell it meanwhile what they know, it need not ask the store at all.
+	// MaxStartDelay is the maximum of the random delay before the first listing of a box that
+	// starts: if peers send it their records meanwhile, it need not query the store at all.
 	MaxStartDelay time.Duration
-	// RelistDelay is how long after the store was restored the kind is listed once more: what the
-	// copy had and nobody wrote again has lapsed by then. Zero for never.
+	// RelistDelay is how long after a restore of the store the kind is listed once more: entries
+	// of the backup that nobody wrote again have lapsed by then. Zero for never.
 	RelistDelay time.Duration
-	// ChangePause is the pause after a watch that brought changes: more of them often follow,
+	// ChangePause is the pause after a watch that returned changes: further changes often follow,
 	// and each would end the watches of all boxes.
 	ChangePause time.Duration
 }
 
-// Command is what the owner of a Follower does next. The set is closed: List,
-// Watch and Rest.
+// Command is the next action of a Follower's owner. The set is closed: List, Watch and Sleep.
 type Command interface{ command() }
 
-// List asks to list the kind.
+// List commands to list the kind.
 type List struct{}
 
-// Watch asks for the changes since a position.
+// Watch commands to watch for changes since a position.
 type Watch struct {
 	Since store.Position
 	Wait  time.Duration
 }
 
-// Sleep asks to do nothing until the time.
+// Sleep commands to do nothing until the time.
 type Sleep struct{ Until time.Time }
 
 func (List) command()  {}
 func (Watch) command() {}
 func (Sleep) command() {}
 
-// Follower is the machine. It is not safe for concurrent use.
+// Follower is the state machine that follows one kind. It is not safe for concurrent use.
 type Follower struct {
-	pace      Timing
+	timing    Timing
 	rand      *rand.Rand
-	boxes     int  // that notify each other what they learn, this one included
-	place     int  // of this one among them
-	spread    bool // the next watch begins as those of the other boxes do
-	begun     bool // the first pause is set
+	boxes     int  // number of boxes that notify each other of changes, this one included
+	index     int  // position of this box in the order of these boxes, from 0
+	stagger   bool // the next watch starts together with those of other boxes, so that its end is to be staggered
+	started   bool // the start delay was drawn
 	delegated bool // another box follows the store for this one
-	listed    bool
-	// lostHistory: the store no longer knows what came after what is known here, so that
-	// only a listing helps.
+	listed    bool // the records up to position are known; watches can go on from there
+	// lostHistory: the store no longer has the changes after position, so that only a listing
+	// can bring the box up to date.
 	lostHistory bool
-	// relisted: the kind was listed for a lost history, and no watch was answered since.
-	relisted bool
-	at       store.Position
-	learned  store.Era // the latest era of the store that this box has learned of
-	settleAt time.Time // when the kind is to be listed once more; zero for never
-	failures int
-	restTo   time.Time
-	goodAt   time.Time // of the last success
-	lostAt   time.Time // of the first failure since; zero while all is well
+	// relisted: the kind was listed because of a lost history, and no watch has succeeded since.
+	relisted     bool
+	position     store.Position
+	observedEra  store.Era // the latest era of the store that this box has observed
+	relistAt     time.Time // when the kind is to be listed once more; zero for never
+	failures     int       // consecutive failures
+	pausedUntil  time.Time
+	lastSuccess  time.Time
+	failingSince time.Time // time of the first failure after the last success; zero for none
 }
 
-// New returns a follower that has seen nothing.
-func New(p Timing, rnd *rand.Rand) *Follower { return &Follower{pace: p, rand: rnd, boxes: 1} }
+// New returns a follower that has not listed yet.
+func New(t Timing, rnd *rand.Rand) *Follower { return &Follower{timing: t, rand: rnd, boxes: 1} }
 
-// Position is the position up to which the kind is known.
-func (f *Follower) Position() store.Position { return f.at }
+// Position returns the position up to which the kind is known.
+func (f *Follower) Position() store.Position { return f.position }
 
-// LastSuccess is when the store last answered; zero for never.
-func (f *Follower) LastSuccess() time.Time { return f.goodAt }
+// LastSuccess returns when the store last responded; zero for never.
+func (f *Follower) LastSuccess() time.Time { return f.lastSuccess }
 
-// FailingSince is when the store stopped answering; zero while it answers.
-func (f *Follower) FailingSince() time.Time { return f.lostAt }
+// FailingSince returns when the store stopped responding; zero while it responds.
+func (f *Follower) FailingSince() time.Time { return f.failingSince }
 
-// Next reports what to do.
+// Next returns the next command.
 func (f *Follower) Next(now time.Time) Command {
-	if !f.begun {
-		f.begun = true
-		if first := now.Add(f.chance(f.pace.MaxStartDelay)); first.After(f.restTo) {
-			f.restTo = first
+	if !f.started {
+		f.started = true
+		if first := now.Add(f.randomUpTo(f.timing.MaxStartDelay)); first.After(f.pausedUntil) {
+			f.pausedUntil = first
 		}
 	}
 	switch {
-	case !f.settleAt.IsZero() && !now.Before(f.settleAt) && !now.Before(f.restTo):
+	case !f.relistAt.IsZero() && !now.Before(f.relistAt) && !now.Before(f.pausedUntil):
 		return List{}
 	case f.delegated:
-		return Sleep{Until: now.Add(delegatedCheck)}
-	case now.Before(f.restTo):
-		return Sleep{Until: f.restTo}
+		return Sleep{Until: now.Add(delegationCheckInterval)}
+	case now.Before(f.pausedUntil):
+		return Sleep{Until: f.pausedUntil}
 	case !f.listed:
 		return List{}
 	default:
-		w := Watch{Since: f.at, Wait: f.wait()}
-		if !f.settleAt.IsZero() {
-			w.Wait = min(w.Wait, f.settleAt.Sub(now))
+		w := Watch{Since: f.position, Wait: f.nextWait()}
+		if !f.relistAt.IsZero() {
+			w.Wait = min(w.Wait, f.relistAt.Sub(now))
 		}
-		f.spread = false
+		f.stagger = false
 		return w
 	}
 }
 
-// delegatedCheck is the pause between two looks whether another box still follows the store for
-// this one: short against the seconds in which a configuration is to be in force.
-const delegatedCheck = 250 * time.Millisecond
+// delegationCheckInterval is the time between two checks whether another box still follows the store
+// for this one: short compared to the seconds within which a configuration must be in force.
+const delegationCheckInterval = 250 * time.Millisecond
 
-// SetDelegated sets whether another box follows the store for this one now. A hundred boxes that
-// all watch end a hundred calls with each change; where a few watch for the others it is
-// those few. Once none does it goes on by itself from what it knows.
-func (f *Follower) SetDelegated(by bool) {
-	if f.delegated && !by {
-		f.spread = true
+// SetDelegated sets whether another box follows the store for this one. If a hundred boxes all
+// watch, each change ends a hundred calls; if a few watch for the others, it ends those few. Once no
+// other box follows the store for it, this one goes on by itself from the position that it has.
+func (f *Follower) SetDelegated(delegated bool) {
+	if f.delegated && !delegated {
+		f.stagger = true
 	}
-	f.delegated = by
+	f.delegated = delegated
 }
 
-// chance draws a time up to the bound.
-func (f *Follower) chance(bound time.Duration) time.Duration {
+// randomUpTo draws a duration from zero to the bound.
+func (f *Follower) randomUpTo(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
 	}
 	return time.Duration(f.rand.Int64N(int64(bound) + 1))
 }
 
-// SetPeers sets how many boxes notify each other what they learn, and the place of this
-// one in their order, from 0.
-func (f *Follower) SetPeers(boxes, place int) {
+// SetPeers sets how many boxes notify each other of changes, and the index of this one in their
+// order, from 0.
+func (f *Follower) SetPeers(boxes, index int) {
 	f.boxes = max(boxes, 1)
-	f.place = min(max(place, 0), f.boxes-1)
+	f.index = min(max(index, 0), f.boxes-1)
 }
 
-// sharers is how many boxes' watches stand in for one of a box that is alone: a few,
-// since some of the boxes may be cut off from the others.
-const sharers = 4
+// boxesPerWatch is the number of boxes whose watches together replace the watch of a box without
+// peers. It is more than one, since some of the boxes may be cut off from the others.
+const boxesPerWatch = 4
 
-// WaitFor is how long a watch of one of so many boxes waits at the most. It grows
-// with their number, so that all together ask the store equally often however many they
-// are: one of them notices a dropped watch and notifies the others.
-func (p Timing) WaitFor(boxes int) time.Duration {
-	w := p.Wait * time.Duration(boxes) / sharers
-	return min(max(w, p.Wait), max(p.MaxWait, p.Wait))
+// WaitFor returns the maximum wait of a watch if that many boxes watch. It grows with their number, so
+// that the rate of calls of all together does not: the one that notices a dropped watch notifies the
+// others.
+func (t Timing) WaitFor(boxes int) time.Duration {
+	w := t.Wait * time.Duration(boxes) / boxesPerWatch
+	return min(max(w, t.Wait), max(t.MaxWait, t.Wait))
 }
 
-// wait spreads the ends of the watches of many boxes evenly. A change ends all of them
-// at once, so the first wait after it is for as long as the box's place says.
-func (f *Follower) wait() time.Duration {
-	w := f.pace.WaitFor(f.boxes)
+// nextWait returns the wait of the next watch, such that the watches of many boxes end at evenly
+// spread times. A change ends all of them at once, so the first wait after it depends on the box's
+// turn.
+func (f *Follower) nextWait() time.Duration {
+	w := f.timing.WaitFor(f.boxes)
 	step := w / time.Duration(f.boxes)
-	chance := time.Duration(f.rand.Int64N(int64(step)/2 + 1))
-	if f.spread && f.boxes > sharers {
-		return step*time.Duration(f.slot()) + step/2 + chance
+	jitter := time.Duration(f.rand.Int64N(int64(step)/2 + 1))
+	if f.stagger && f.boxes > boxesPerWatch {
+		return step*time.Duration(f.turn()) + step/2 + jitter
 	}
-	return w - chance
+	return w - jitter
 }
 
-// slot is the box's turn among all: neighbours in the order of names, which often stand
-// in one data hall and are cut off together, come far from each other.
-func (f *Follower) slot() int {
-	const golden = 0.618 // of a round: the steps that leave the evenest gaps
+// turn returns the turn of the box among all boxes. Neighbours in the order of names, which are often
+// in one data hall and become isolated together, get turns far from each other.
+func (f *Follower) turn() int {
+	const golden = 0.618 // fraction of a round: steps of the golden ratio leave the most even gaps
 	stride := max(1, int(golden*float64(f.boxes)))
 	for gcd(stride, f.boxes) != 1 {
 		stride++
 	}
-	return f.place * stride % f.boxes
+	return f.index * stride % f.boxes
 }
 
 func gcd(a, b int) int {
@@ -183,47 +183,47 @@
 	return a
 }
 
-// Listed takes the end of a List.
+// Listed records the result of a List.
 func (f *Follower) Listed(now time.Time, at store.Position, err error) {
 	if err != nil {
-		f.failed(now)
+		f.fail(now)
 		return
 	}
 	f.relisted = f.lostHistory
 	f.listed, f.lostHistory = true, false
-	if !now.Before(f.settleAt) {
-		f.settleAt = time.Time{}
+	if !now.Before(f.relistAt) {
+		f.relistAt = time.Time{}
 	}
 	f.advance(now, at)
-	f.spread = true
-	pauses := f.failures
-	f.answered(now)
+	f.stagger = true
+	failures := f.failures
+	f.succeed(now)
 	if f.relisted {
-		f.failures = pauses // a watch from there may be refused again
+		f.failures = failures // the next watch, from the listed position, may be refused again
 	}
 }
 
-// Watched takes the end of a Watch. The result reports whether its changes follow what is known.
-// In a later era they do not, even if the store has the revision: what it lost and what it was
-// given since then are missing.
+// Watched records the result of a Watch, and reports whether its changes continue from the position of
+// the follower. In a later era they do not, even if the store has the revision: what the store lost
+// in the restore, and what was written between the restore and that revision, is missing from them.
 func (f *Follower) Watched(now time.Time, at store.Position, err error) bool {
 	lost := errors.Is(err, store.ErrHistoryLost)
 	switch {
 	case err != nil && !lost:
-		f.failed(now)
+		f.fail(now)
 		return false
-	case lost || at.Era() > f.at.Era():
+	case lost || at.Era() > f.position.Era():
 		f.loseHistory(now)
 		return false
 	default:
-		f.at, f.relisted = store.Later(f.at, at), false
-		f.answered(now)
+		f.position, f.relisted = store.Later(f.position, at), false
+		f.succeed(now)
 		return true
 	}
 }
 
-// loseHistory has the kind listed anew, at once unless it was only just listed for that: a store
-// that has no history of what it listed a moment ago is in trouble.
+// loseHistory makes the follower list again, at once unless it has just listed for the same reason: a
+// store that has no history since a listing of a moment ago is in trouble.
 func (f *Follower) loseHistory(now time.Time) {
 	f.listed, f.lostHistory = false, true
 	if f.relisted {
@@ -231,61 +231,62 @@
 	} else {
 		f.failures = 0
 	}
-	f.goodAt, f.lostAt = now, time.Time{}
+	f.lastSuccess, f.failingSince = now, time.Time{}
 }
 
-// ObserveEra takes the latest era of the store that this box has learned of. In a later era than
-// the one up to which the kind is known, it is listed anew; once for each era, since other boxes
-// may report one that the store itself does not state.
+// ObserveEra records the latest era of the store that this box has observed. If it is later than that
+// of the follower's position, the kind is listed again; once for each era, since other boxes may
+// report an era that the store itself does not state.
 func (f *Follower) ObserveEra(era store.Era) {
-	if era <= f.learned {
+	if era <= f.observedEra {
 		return
 	}
-	f.learned = era
-	if f.listed && era > f.at.Era() {
+	f.observedEra = era
+	if f.listed && era > f.position.Era() {
 		f.listed, f.lostHistory = false, true
 	}
 }
 
-// Changed records that the watch that ended brought changes.
+// Changed records that the last watch returned changes.
 func (f *Follower) Changed(now time.Time) {
-	f.spread = true
-	f.restTo = now.Add(f.pace.ChangePause)
+	f.stagger = true
+	f.pausedUntil = now.Add(f.timing.ChangePause)
 }
 
-// CaughtUpFromPeers records that peers gave all that the store held at the position; zero if none did. It
-// does not replace the history that the store lost within an era.
+// CaughtUpFromPeers records that peers have sent all records that the store held at the position;
+// zero if none did. They do not replace a history that the store lost within an era, since their
+// records may be as old.
 func (f *Follower) CaughtUpFromPeers(now time.Time, at store.Position) {
-	if !at.IsZero() && (!f.lostHistory || at.Era() > f.at.Era()) {
+	if !at.IsZero() && (!f.lostHistory || at.Era() > f.position.Era()) {
 		f.listed, f.lostHistory = true, false
 		f.advance(now, at)
 	}
 }
 
-// advance takes that the kind is known up to the position.
+// advance records that the kind is known up to the position.
 func (f *Follower) advance(now time.Time, at store.Position) {
-	if !f.at.IsZero() && at.Era() > f.at.Era() && f.pace.RelistDelay > 0 {
-		f.settleAt = now.Add(f.pace.RelistDelay)
+	if !f.position.IsZero() && at.Era() > f.position.Era() && f.timing.RelistDelay > 0 {
+		f.relistAt = now.Add(f.timing.RelistDelay)
 	}
-	f.at = store.Later(f.at, at)
+	f.position = store.Later(f.position, at)
 }
 
-func (f *Follower) answered(now time.Time) {
+func (f *Follower) succeed(now time.Time) {
 	f.failures = 0
-	f.goodAt, f.lostAt = now, time.Time{}
+	f.lastSuccess, f.failingSince = now, time.Time{}
 }
 
-func (f *Follower) failed(now time.Time) {
-	if f.lostAt.IsZero() {
-		f.lostAt = now
+func (f *Follower) fail(now time.Time) {
+	if f.failingSince.IsZero() {
+		f.failingSince = now
 	}
 	f.pause(now)
 }
 
-// pause rests before the next call, longer after each failure.
+// pause delays the next call, for longer after each failure.
 func (f *Follower) pause(now time.Time) {
-	f.spread = true
-	pause := min(f.pace.MinBackoff<<min(f.failures, 16), f.pace.MaxBackoff)
+	f.stagger = true
+	pause := min(f.timing.MinBackoff<<min(f.failures, 16), f.timing.MaxBackoff)
 	f.failures++
-	f.restTo = now.Add(pause/2 + time.Duration(f.rand.Int64N(int64(pause)+1)))
+	f.pausedUntil = now.Add(pause/2 + time.Duration(f.rand.Int64N(int64(pause)+1)))
 }
--- a/store/timeline.go
+++ b/store/timeline.go
@@ -1,7 +1,8 @@
 package store
 
-// Timeline tracks the latest position of the store that a process has observed. It decides which
-// stated eras are accepted. It is not safe for concurrent use.
+// Timeline tracks the latest position of the store that a process has observed, from which the era of
+// a response that does not state it is inferred. It decides which stated eras are accepted. It is
+// not safe for concurrent use.
 type Timeline struct {
 	latest      Position
 	unconfirmed Era // the last stated era that was not accepted; zero if an era was accepted since
