--- a/settings/changed.go
+++ b/settings/changed.go
@@ -2,7 +2,7 @@
 
 import "reflect"
 
-// Changed names the fields in which two settings of one type differ, by their paths.
+// Changed returns the paths of the fields in which two settings of the same type differ.
 func Changed(before, after any) []string {
 	return changed("", reflect.ValueOf(before), reflect.ValueOf(after))
 }
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,10 +1,10 @@
 // Package settings reads a program's settings: JSON with comments, decoded
 // strictly into a struct that already holds the defaults.
 //
-// Every mistake is an [Error] that names file, line and field and states what is
-// allowed: a field that does not exist, a value of the wrong type, a duration
-// without a unit, a number out of range. The struct's tags carry the checks:
-// json for the name, min and max for numbers and durations, oneof for texts,
+// Every mistake is reported as an [Error] that names file, line and field and states
+// what is allowed: a field that does not exist, a value of the wrong type, a duration
+// without a unit, a number out of range. The struct's tags specify the checks:
+// json for the name, min and max for numbers and durations, oneof for strings,
 // required for values without a default.
 //
 // # Usage
@@ -12,7 +12,7 @@
 //	type Settings struct {
 //		// Listen is the address for callers.
 //		Listen string `json:"listen" required:"true"`
-//		// Round is the time between two reports.
+//		// Round is the interval between two reports.
 //		Round settings.Duration `json:"round" min:"100ms" max:"10s"`
 //	}
 //	s := Settings{Round: settings.Duration(time.Second)}
--- a/settings/document.go
+++ b/settings/document.go
@@ -9,35 +9,35 @@
 	"strings"
 )
 
-// Document writes the reference of a settings struct in Markdown: one row a
-// field with its default, what it takes, and the comment of its declaration.
-// source is the Go file that declares the struct; defaults holds the defaults.
+// Document returns the reference of a settings struct in Markdown: one row per field
+// with its default, the allowed values, and the comment of its declaration. source is
+// the Go file that declares the struct; defaults is a struct that holds the defaults.
 func Document(title, source string, defaults any) (string, error) {
 	comments, err := fieldComments(source)
 	if err != nil {
 		return "", err
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "## %s\n\nGenerated from `%s`; do not edit. The file is JSON with comments.\n\n", title, relative(source))
-	b.WriteString("| field | default | takes | meaning |\n|---|---|---|---|\n")
-	documentStruct(&b, "", reflect.ValueOf(defaults), comments)
+	fmt.Fprintf(&b, "## %s\n\nGenerated from `%s`; do not edit. The file is JSON with comments.\n\n", title, withoutParents(source))
+	b.WriteString("| field | default | value | meaning |\n|---|---|---|---|\n")
+	writeFields(&b, "", reflect.ValueOf(defaults), comments)
 	return b.String(), nil
 }
 
-func documentStruct(b *strings.Builder, path string, v reflect.Value, comments map[string]string) {
+func writeFields(b *strings.Builder, path string, v reflect.Value, comments map[string]string) {
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
 		full := join(path, nameOf(f))
 		if v.Field(i).Kind() == reflect.Struct {
-			documentStruct(b, full, v.Field(i), comments)
+			writeFields(b, full, v.Field(i), comments)
 			continue
 		}
 		comment := comments[v.Type().Name()+"."+f.Name]
-		fmt.Fprintf(b, "| `%s` | `%v` | %s | %s |\n", full, v.Field(i).Interface(), wanted(f), comment)
+		fmt.Fprintf(b, "| `%s` | `%v` | %s | %s |\n", full, v.Field(i).Interface(), allowedValues(f), comment)
 	}
 }
 
-// fieldComments maps Type.Field to the comment above the field.
+// fieldComments returns the comment above each field, by "Type.Field".
 func fieldComments(source string) (map[string]string, error) {
 	file, err := parser.ParseFile(token.NewFileSet(), source, nil, parser.ParseComments)
 	if err != nil {
@@ -63,9 +63,9 @@
 	return comments, nil
 }
 
-// relative drops the leading dots of a path, so that the text is the same from
-// wherever it is made.
-func relative(source string) string {
+// withoutParents removes the leading "../" elements of a path, so that the text does not
+// depend on the directory in which it is generated.
+func withoutParents(source string) string {
 	for strings.HasPrefix(source, "../") {
 		source = strings.TrimPrefix(source, "../")
 	}
--- a/settings/error.go
+++ b/settings/error.go
@@ -14,16 +14,16 @@
 	text  string
 }
 
-// File is the name of the file.
+// File returns the name of the settings file.
 func (e *Error) File() string { return e.file }
 
-// Line is the line of the mistake, from 1; 0 where it has none.
+// Line returns the line of the mistake, from 1; 0 if it has none, such as a missing field.
 func (e *Error) Line() int { return e.line }
 
-// Field is the path of the field, such as "limits.body_bytes".
+// Field returns the path of the field, such as "limits.body_bytes".
 func (e *Error) Field() string { return e.field }
 
-// Error gives all in one line, in the form file:line: field: text.
+// Error returns the mistake on one line, in the form file:line: field: text.
 func (e *Error) Error() string {
 	var b strings.Builder
 	b.WriteString(e.file)
@@ -40,16 +40,16 @@
 // Duration is a time.Duration written with its unit, such as "250ms".
 type Duration time.Duration
 
-// Std gives the standard type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// String gives the form with a unit.
+// String returns the duration with its unit.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// MarshalText gives the form with a unit.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads the form with a unit.
+// UnmarshalText implements encoding.TextUnmarshaler; the text needs a unit.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
--- a/settings/file.go
+++ b/settings/file.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// lookEvery is the time between two looks whether a settings file has changed, for
+// pollInterval is the time between two checks whether a settings file has changed, for
 // platforms that change it without a signal: well within the seconds in which a
 // configuration must be in force.
-const lookEvery = time.Second
+const pollInterval = time.Second
 
-// File is the settings file of a process, which may change while it runs. Current may
-// be called from any goroutine; Watch or Again from one.
+// File is the settings file of a process, which may change while the process runs.
+// Current may be called from any goroutine, Watch and Reload from a single one.
 type File[S any] struct {
 	path     string
 	defaults func() S
-	raw      []byte // as it was last read
-	now      atomic.Pointer[S]
+	raw      []byte // content when last read, also if it was rejected
+	current  atomic.Pointer[S]
 }
 
-// Open reads the file for the first time. defaults gives the values of fields that it
-// does not name.
+// Open reads the file for the first time. defaults returns the values of fields that the
+// file does not name.
 func Open[S any](path string, defaults func() S) (*File[S], error) {
 	f := &File[S]{path: path, defaults: defaults}
 	raw, err := os.ReadFile(path)
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	f.raw = raw
-	f.now.Store(&s)
+	f.current.Store(&s)
 	return f, nil
 }
 
@@ -45,39 +45,39 @@
 	return s, err
 }
 
-// Current is what the file said when it was last read without a mistake.
-func (f *File[S]) Current() S { return *f.now.Load() }
+// Current returns the settings of the last valid content of the file.
+func (f *File[S]) Current() S { return *f.current.Load() }
 
-// Watch reads the file again when it has changed or a signal comes, until signal is
-// closed, and hands changed settings to took.
-func (f *File[S]) Watch(log *slog.Logger, signal <-chan struct{}, took func(S)) {
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+// Watch reloads the file periodically and at each signal, and calls apply with changed
+// settings. It returns when signal is closed.
+func (f *File[S]) Watch(log *slog.Logger, signal <-chan struct{}, apply func(S)) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
-		asked := false
+		signalled := false
 		select {
 		case _, open := <-signal:
 			if !open {
 				return
 			}
-			asked = true
-		case <-look.C:
+			signalled = true
+		case <-ticker.C:
 		}
 		fields, err := f.Reload()
 		switch {
 		case err != nil:
-			log.Error("settings not taken, the former stay", "file", f.path, "err", err)
+			log.Error("settings file is invalid, keeping the settings in force", "file", f.path, "err", err)
 		case len(fields) > 0:
-			took(f.Current())
-			log.Info("settings taken", "file", f.path, "changed", fields)
-		case asked:
-			log.Info("settings read again, nothing changed", "file", f.path)
+			apply(f.Current())
+			log.Info("settings applied", "file", f.path, "changed", fields)
+		case signalled:
+			log.Info("settings reloaded, nothing changed", "file", f.path)
 		}
 	}
 }
 
-// Reload reads the file again, and names the fields that have changed. A file with a
-// mistake changes nothing; the mistake is told once.
+// Reload reads the file again, and returns the paths of the fields that have changed. A
+// file with a mistake changes nothing; the mistake is returned once for each content.
 func (f *File[S]) Reload() ([]string, error) {
 	raw, err := os.ReadFile(f.path)
 	if err != nil {
@@ -92,6 +92,6 @@
 		return nil, err
 	}
 	fields := Changed(f.Current(), s)
-	f.now.Store(&s)
+	f.current.Store(&s)
 	return fields, nil
 }
--- a/settings/tag.go
+++ b/settings/tag.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// wanted says in words what a field takes.
-func wanted(f reflect.StructField) string {
-	text := typeWords(f.Type)
-	if one := f.Tag.Get("oneof"); one != "" {
-		return "one of " + strings.ReplaceAll(one, ",", ", ")
+// allowedValues describes the values that a field accepts.
+func allowedValues(f reflect.StructField) string {
+	text := typeName(f.Type)
+	if options := f.Tag.Get("oneof"); options != "" {
+		return "one of " + strings.ReplaceAll(options, ",", ", ")
 	}
 	lo, hi := f.Tag.Get("min"), f.Tag.Get("max")
 	switch {
@@ -27,7 +27,7 @@
 	return text
 }
 
-func typeWords(t reflect.Type) string {
+func typeName(t reflect.Type) string {
 	if t == reflect.TypeFor[Duration]() {
 		return `a duration with a unit such as "250ms"`
 	}
@@ -35,34 +35,35 @@
 	case reflect.Bool:
 		return "true or false"
 	case reflect.String:
-		return "a text"
+		return "a string"
 	case reflect.Int, reflect.Int64, reflect.Uint64, reflect.Uint32:
 		return "a whole number"
 	case reflect.Float64:
 		return "a number"
 	case reflect.Slice:
-		return "a list of " + strings.TrimPrefix(typeWords(t.Elem()), "a ") + "s"
+		return "a list of " + strings.TrimPrefix(typeName(t.Elem()), "a ") + "s"
 	default:
 		return t.String()
 	}
 }
 
-func inRange(v reflect.Value, tag reflect.StructTag) bool {
-	if one := tag.Get("oneof"); one != "" {
-		return slices.Contains(strings.Split(one, ","), v.String())
+// isAllowed checks a value against the tags oneof, min and max of its field.
+func isAllowed(v reflect.Value, tag reflect.StructTag) bool {
+	if options := tag.Get("oneof"); options != "" {
+		return slices.Contains(strings.Split(options, ","), v.String())
 	}
-	n, numeric := number(v)
+	n, numeric := toNumber(v)
 	if !numeric {
 		return true
 	}
-	if lo, ok := bound(tag.Get("min")); ok && n < lo {
+	if lo, ok := parseBound(tag.Get("min")); ok && n < lo {
 		return false
 	}
-	hi, ok := bound(tag.Get("max"))
+	hi, ok := parseBound(tag.Get("max"))
 	return !ok || n <= hi
 }
 
-func number(v reflect.Value) (float64, bool) {
+func toNumber(v reflect.Value) (float64, bool) {
 	switch v.Kind() {
 	case reflect.Int, reflect.Int64:
 		return float64(v.Int()), true
@@ -75,7 +76,8 @@
 	}
 }
 
-func bound(text string) (float64, bool) {
+// parseBound parses the value of a min or max tag; durations are in nanoseconds.
+func parseBound(text string) (float64, bool) {
 	if text == "" {
 		return 0, false
 	}
