--- a/store/feed.go
+++ b/store/feed.go
@@ -26,7 +26,7 @@
 // decreases when the store is restored from a backup; a Position orders revisions of different eras.
 type Revision uint64
 
-// Era counts the restores of the store. It increases by one each time the store is restored from a
+// Era numbers the periods between restores of the store. It increases by one with each restore from a
 // backup, after which revisions are issued a second time. Zero stands for an era that is not stated.
 type Era uint64
 
