--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -42,7 +42,7 @@
 		a.firstByteTimer = clock.AfterFunc(a.try.Patience, func() { cancel(errFirstByteTimeout) })
 		defer a.firstByteTimer.Stop()
 	}
-	if aim := a.d.req.route.Aim(); aim > 0 {
+	if aim := a.d.req.route.LatencyObjective(); aim > 0 {
 		a.overdueTimer = clock.AfterFunc(clock.Now().Add(time.Duration(overdueAims*float64(aim))), a.lease.ResponseOverdue)
 		defer a.overdueTimer.Stop()
 	}
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -48,8 +48,8 @@
 	defer cancel()
 	d := &delivery{g: g, req: req, w: w, after: req.After(), budget: g.deps.Budget(req.service)}
 	rules := retry.Rules{
-		Repeat: req.route.MayRepeat(), Resume: req.route.MayResume(), Attempts: req.route.Attempts(),
-		Deadline: req.deadline, Patience: firstByteTimeoutAims * req.route.Aim(),
+		Repeat: req.route.MayRepeat(), Resume: req.route.MayResume(), Attempts: req.route.MaxAttempts(),
+		Deadline: req.deadline, Patience: firstByteTimeoutAims * req.route.LatencyObjective(),
 	}
 	d.course = retry.NewCourse(rules, d.budget)
 	for cmd := d.course.Start(req.arrived); ; {
@@ -85,7 +85,7 @@
 	}
 	lease, err := d.g.deps.Fleet.Acquire(ctx, now, Query{
 		Service: d.req.service, Tried: d.tried, First: len(d.tried) == 0,
-		Route: d.req.route.Name(), Aim: d.req.route.Aim(), Deadline: d.req.deadline,
+		Route: d.req.route.Name(), Aim: d.req.route.LatencyObjective(), Deadline: d.req.deadline,
 	})
 	if err != nil {
 		f := fault.Find(err)
--- a/gateway/intake.go
+++ b/gateway/intake.go
@@ -64,10 +64,10 @@
 	}
 	req.route = route
 	req.org, ok = c.Organisation(req.Key())
-	if !ok && !route.Open() {
+	if !ok && !route.Public() {
 		return fault.New(fault.Unauthenticated, "route %s: no organisation has the key in configuration %d", route.Name(), c.Version())
 	}
-	req.service = route.Backend(g.random())
+	req.service = route.SelectService(g.random())
 	req.deadline = req.arrived.Add(route.Timeout())
 	if d := req.Deadline(); !d.IsZero() && d.Before(req.deadline) {
 		req.deadline = d
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -83,7 +83,7 @@
 func (a *attempt) recordGap(now time.Time) {
 	if !a.lastEventsAt.IsZero() {
 		a.gap = now.Sub(a.lastEventsAt)
-		a.lease.ReportEventGap(a.gap, a.d.req.route.GapAim())
+		a.lease.ReportEventGap(a.gap, a.d.req.route.EventGapObjective())
 	}
 	a.lastEventsAt = now
 }
@@ -91,7 +91,7 @@
 // shouldMove reports whether the stream is to be resumed at another target, because its events come
 // too late and this target causes that. The budget is charged for the move.
 func (a *attempt) shouldMove(now time.Time) bool {
-	aim := a.d.req.route.GapAim()
+	aim := a.d.req.route.EventGapObjective()
 	return a.try.Movable && aim > 0 && a.gap > aim && a.lease.IsStraggler(now, a.d.tried) && a.d.budget.Take(now)
 }
 
--- a/node/entry.go
+++ b/node/entry.go
@@ -119,8 +119,8 @@
 	go e.peering.run(ctx)
 	e.common.Log.Info("started", "hall", e.settings().Hall, "callers", e.settings().Callers, "peers", e.settings().Peers, "store", e.settings().Store)
 	kept := completing{
-		Shelf:    platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.stated),
-		timeline: e.timeline,
+		RecordStore: platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.stated),
+		timeline:    e.timeline,
 	}
 	e.follow(ctx, kept)
 	go e.quarantine.run(ctx, kept, e.settings().FirstStart)
@@ -157,12 +157,12 @@
 	limits := catalog.DefaultLimits()
 	door := gateway.NewListener(&http.Server{
 		Handler: e.gateway, MaxHeaderBytes: limits.HeaderBytes,
-		ReadHeaderTimeout: limits.Header, IdleTimeout: limits.Idle,
+		ReadHeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout,
 	})
 	if err := s.Serve(door, e.settings().Callers); err != nil {
 		return nil, err
 	}
-	if err := s.Serve(&http.Server{Handler: e.ready, ReadHeaderTimeout: limits.Header}, e.settings().Ready); err != nil {
+	if err := s.Serve(&http.Server{Handler: e.ready, ReadHeaderTimeout: limits.HeaderTimeout}, e.settings().Ready); err != nil {
 		return nil, err
 	}
 	return door, s.ServeMetrics(e.common, e.settings().Metrics)
