--- a/membership/outlook.go
+++ b/membership/hall_reporters.go
@@ -6,13 +6,13 @@
 	"clovertrail.dev/core/domain"
 )
 
-// Outlook decides from whom a box learns how targets do. Those of its own data hall it
+// HallReporters decides from whom a box learns how targets do. Those of its own data hall it
 // asks itself. Of another hall it asks one entry box there, which reports on all targets
 // of that hall at once; only a target of which that box has no fresh report is asked
 // itself. So the bytes between halls do not grow with boxes times targets.
 //
 // It does no I/O and is not safe for concurrent use.
-type Outlook struct {
+type HallReporters struct {
 	own      domain.HallName
 	role     Role
 	halls    map[domain.HallName]*outpost
@@ -26,12 +26,12 @@
 	receivedAt time.Time    // when another box last received a report of a target of the hall
 }
 
-// NewOutlook returns the outlook of a box in the hall.
-func NewOutlook(own domain.HallName) *Outlook {
-	return &Outlook{own: own, halls: map[domain.HallName]*outpost{}, received: map[domain.InstanceID]time.Time{}}
+// NewHallReporters returns the outlook of a box in the hall.
+func NewHallReporters(own domain.HallName) *HallReporters {
+	return &HallReporters{own: own, halls: map[domain.HallName]*outpost{}, received: map[domain.InstanceID]time.Time{}}
 }
 
-func (o *Outlook) outpost(h domain.HallName) *outpost {
+func (o *HallReporters) outpost(h domain.HallName) *outpost {
 	p, ok := o.halls[h]
 	if !ok {
 		p = &outpost{}
@@ -42,7 +42,7 @@
 
 // Choose is the box to ask about the hall, of those there that are in touch: the one
 // that answered last, or else any but the one that just did not. false if there is none.
-func (o *Outlook) Choose(h domain.HallName, there []Contact) (Contact, bool) {
+func (o *HallReporters) Choose(h domain.HallName, there []Contact) (Contact, bool) {
 	p := o.outpost(h)
 	var other Contact
 	for _, c := range there {
@@ -58,7 +58,7 @@
 
 // Answered takes that the box reported on its hall. The result reports that it is another box
 // than before.
-func (o *Outlook) Answered(h domain.HallName, by domain.BoxID) bool {
+func (o *HallReporters) Answered(h domain.HallName, by domain.BoxID) bool {
 	p := o.outpost(h)
 	moved := p.box != by
 	p.box, p.failed = by, ""
@@ -67,7 +67,7 @@
 
 // Failed takes that the box did not report on its hall. The result reports that it was the
 // one that reported until now.
-func (o *Outlook) Failed(h domain.HallName, box domain.BoxID) bool {
+func (o *HallReporters) Failed(h domain.HallName, box domain.BoxID) bool {
 	p := o.outpost(h)
 	lost := p.box != ""
 	p.box, p.failed = "", box
@@ -75,7 +75,7 @@
 }
 
 // Received takes that another box received a report of the target of the hall at the time.
-func (o *Outlook) Received(h domain.HallName, id domain.InstanceID, at time.Time) {
+func (o *HallReporters) Received(h domain.HallName, id domain.InstanceID, at time.Time) {
 	if at.After(o.received[id]) {
 		o.received[id] = at
 	}
@@ -84,14 +84,14 @@
 	}
 }
 
-// Become sets the role of this box in its hall.
-func (o *Outlook) Become(r Role) { o.role = r }
+// SetRole sets the role of this box in its hall.
+func (o *HallReporters) SetRole(r Role) { o.role = r }
 
-// Asks reports whether this box is to ask the target itself: it stands in the own hall and
+// ShouldQueryTarget reports whether this box is to ask the target itself: it stands in the own hall and
 // no hub asks it, nobody reports on its hall, or who does has received nothing of it for so long. A
 // follower whose hub is lost does not ask at once: another hub reports meanwhile, and
 // all followers of a hall would ask all targets.
-func (o *Outlook) Asks(now time.Time, h domain.HallName, id domain.InstanceID, old time.Duration) bool {
+func (o *HallReporters) ShouldQueryTarget(now time.Time, h domain.HallName, id domain.InstanceID, old time.Duration) bool {
 	unheard := now.Sub(o.received[id])
 	switch {
 	case o.role != Follower:
@@ -103,10 +103,10 @@
 	}
 }
 
-// Surveys reports whether this box is to ask another how the targets of the hall do. A
+// ShouldQueryPeer reports whether this box is to ask another how the targets of the hall do. A
 // follower asks a hub of its own hall, and boxes of another hall only while the hubs have
 // no fresh news of that.
-func (o *Outlook) Surveys(now time.Time, h domain.HallName, old time.Duration) bool {
+func (o *HallReporters) ShouldQueryPeer(now time.Time, h domain.HallName, old time.Duration) bool {
 	switch {
 	case h == o.own:
 		return o.role == Follower
@@ -118,7 +118,7 @@
 }
 
 // Forget drops what is known of targets that are not in keep.
-func (o *Outlook) Forget(keep func(domain.InstanceID) bool) {
+func (o *HallReporters) Forget(keep func(domain.InstanceID) bool) {
 	for id := range o.received {
 		if !keep(id) {
 			delete(o.received, id)
--- a/membership/outlook_test.go
+++ b/membership/hall_reporters_test.go
@@ -15,39 +15,39 @@
 func TestOutlook(t *testing.T) {
 	for name, tt := range map[string]struct {
 		hall   domain.HallName
-		events func(o *membership.Outlook)
+		events func(o *membership.HallReporters)
 		asks   bool
 	}{
-		"own hall":            {"near", func(*membership.Outlook) {}, true},
-		"nobody told yet":     {"far", func(*membership.Outlook) {}, true},
-		"told a moment ago":   {"far", func(o *membership.Outlook) { o.Answered("far", "b"); o.Received("far", "t", start) }, false},
-		"told of others only": {"far", func(o *membership.Outlook) { o.Answered("far", "b"); o.Received("far", "u", start) }, true},
-		"told long ago":       {"far", func(o *membership.Outlook) { o.Answered("far", "b"); o.Received("far", "t", start.Add(-2*old)) }, true},
-		"older word comes last": {"far", func(o *membership.Outlook) {
+		"own hall":            {"near", func(*membership.HallReporters) {}, true},
+		"nobody told yet":     {"far", func(*membership.HallReporters) {}, true},
+		"told a moment ago":   {"far", func(o *membership.HallReporters) { o.Answered("far", "b"); o.Received("far", "t", start) }, false},
+		"told of others only": {"far", func(o *membership.HallReporters) { o.Answered("far", "b"); o.Received("far", "u", start) }, true},
+		"told long ago":       {"far", func(o *membership.HallReporters) { o.Answered("far", "b"); o.Received("far", "t", start.Add(-2*old)) }, true},
+		"older word comes last": {"far", func(o *membership.HallReporters) {
 			o.Answered("far", "b")
 			o.Received("far", "t", start)
 			o.Received("far", "t", start.Add(-2*old))
 		}, false},
-		"teller stopped answering": {"far", func(o *membership.Outlook) {
+		"teller stopped answering": {"far", func(o *membership.HallReporters) {
 			o.Answered("far", "b")
 			o.Received("far", "t", start)
 			o.Failed("far", "b")
 		}, true},
-		"another teller answers": {"far", func(o *membership.Outlook) {
+		"another teller answers": {"far", func(o *membership.HallReporters) {
 			o.Received("far", "t", start)
 			o.Failed("far", "b")
 			o.Answered("far", "c")
 		}, false},
-		"the target is forgotten": {"far", func(o *membership.Outlook) {
+		"the target is forgotten": {"far", func(o *membership.HallReporters) {
 			o.Answered("far", "b")
 			o.Received("far", "t", start)
 			o.Forget(func(domain.InstanceID) bool { return false })
 		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := membership.NewOutlook("near")
+			o := membership.NewHallReporters("near")
 			tt.events(o)
-			if got := o.Asks(start.Add(old/2), tt.hall, "t", old); got != tt.asks {
+			if got := o.ShouldQueryTarget(start.Add(old/2), tt.hall, "t", old); got != tt.asks {
 				t.Errorf("asks the target itself: %v, want %v", got, tt.asks)
 			}
 		})
@@ -55,7 +55,7 @@
 }
 
 func TestOutlookStaysWithTheBoxThatAnswers(t *testing.T) {
-	o := membership.NewOutlook("near")
+	o := membership.NewHallReporters("near")
 	there := []membership.Contact{contact("a", 1), contact("b", 1), contact("c", 1)}
 	choose := func() domain.BoxID {
 		c, ok := o.Choose("far", there)
@@ -103,8 +103,8 @@
 		{"nor any box of the other hall", 2500 * ms, true, true, true, true, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			o := membership.NewOutlook("near")
-			o.Become(membership.Follower)
+			o := membership.NewHallReporters("near")
+			o.SetRole(membership.Follower)
 			o.Answered("near", "hub")
 			o.Received("near", "t", start)
 			o.Received("far", "u", start)
@@ -112,10 +112,10 @@
 				o.Failed("near", "hub")
 			}
 			now := start.Add(tt.after)
-			if near, far := o.Asks(now, "near", "t", old), o.Asks(now, "far", "u", old); near != tt.near || far != tt.far {
+			if near, far := o.ShouldQueryTarget(now, "near", "t", old), o.ShouldQueryTarget(now, "far", "u", old); near != tt.near || far != tt.far {
 				t.Errorf("asks targets itself: near %v, far %v", near, far)
 			}
-			if s, n := o.Surveys(now, "far", old), o.Surveys(now, "near", old); s != tt.surveys || n != tt.ofNear {
+			if s, n := o.ShouldQueryPeer(now, "far", old), o.ShouldQueryPeer(now, "near", old); s != tt.surveys || n != tt.ofNear {
 				t.Errorf("asks boxes: of the other hall %v, of its own %v", s, n)
 			}
 		})
@@ -124,15 +124,15 @@
 
 // TestAHubAsksForTheOthers: its own targets, and boxes of other halls.
 func TestAHubAsksForTheOthers(t *testing.T) {
-	o := membership.NewOutlook("near")
-	o.Become(membership.Hub)
+	o := membership.NewHallReporters("near")
+	o.SetRole(membership.Hub)
 	o.Answered("far", "b")
 	o.Received("near", "t", start)
 	o.Received("far", "u", start)
-	if !o.Asks(start, "near", "t", old) || o.Asks(start, "far", "u", old) {
+	if !o.ShouldQueryTarget(start, "near", "t", old) || o.ShouldQueryTarget(start, "far", "u", old) {
 		t.Error("it asks other targets than those of its own hall")
 	}
-	if o.Surveys(start, "near", old) || !o.Surveys(start, "far", old) {
+	if o.ShouldQueryPeer(start, "near", old) || !o.ShouldQueryPeer(start, "far", old) {
 		t.Error("it asks other boxes than those of other halls")
 	}
 }
--- a/node/surveying.go
+++ b/node/surveying.go
@@ -34,7 +34,7 @@
 	sightings *telling.Sightings
 
 	mu        sync.Mutex
-	outlook   *membership.Outlook
+	outlook   *membership.HallReporters
 	role      membership.Role
 	place     int       // of this box among those of its hall, in the order of names
 	hubAt     time.Time // when a hub of the hall last reported that it follows the store
@@ -45,7 +45,7 @@
 func newSurveying(e *Entry) *surveying {
 	return &surveying{
 		entry: e, sightings: telling.NewSightings(),
-		outlook: membership.NewOutlook(domain.HallName(e.settings().Hall)), halls: map[domain.HallName]bool{},
+		outlook: membership.NewHallReporters(domain.HallName(e.settings().Hall)), halls: map[domain.HallName]bool{},
 	}
 }
 
@@ -99,7 +99,7 @@
 	s.mu.Lock()
 	before := s.role
 	s.role, s.place = role, membership.Place(self, others)
-	s.outlook.Become(role)
+	s.outlook.SetRole(role)
 	s.mu.Unlock()
 	if role != before {
 		s.entry.common.Log.Info("role in the hall", "role", role, "before", before)
@@ -123,7 +123,7 @@
 	defer s.mu.Unlock()
 	out := map[domain.InstanceID]bool{}
 	for _, t := range ranks {
-		if s.outlook.Asks(now, t.Hall(), t.ID(), old) {
+		if s.outlook.ShouldQueryTarget(now, t.Hall(), t.ID(), old) {
 			out[t.ID()] = true
 		}
 	}
@@ -181,7 +181,7 @@
 	old := s.old()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.outlook.Surveys(clock.Now(), hall, old)
+	return s.outlook.ShouldQueryPeer(clock.Now(), hall, old)
 }
 
 // ask asks one box of the hall, if any is in touch.
