--- a/membership/asked_test.go
+++ b/membership/asked_test.go
@@ -26,16 +26,16 @@
 		{"an answer of before asks for less", func(r *membership.Roster) { r.Rests("a", start.Add(time.Second)) }, 2 * time.Second, membership.Resting},
 		{"it asks for more", func(r *membership.Roster) { r.Rests("a", start.Add(2*rest)) }, rest, membership.Resting},
 		{"it serves what was under way", func(r *membership.Roster) { r.Succeeded(start, "a") }, time.Second, membership.Resting},
-		{"the list changes", func(r *membership.Roster) { r.Changed(start, ready("a", 2)) }, time.Second, membership.Resting},
+		{"the list changes", func(r *membership.Roster) { r.ApplyUpdate(start, ready("a", 2)) }, time.Second, membership.Resting},
 		{"its entry lapses", func(r *membership.Roster) {
 			r.StoreTroubled(start)
-			r.Changed(start, gone("a", 2))
+			r.ApplyUpdate(start, gone("a", 2))
 		}, time.Second, membership.Resting},
 		{"it is out of reach too", func(r *membership.Roster) { r.Unreachable(start, "a") }, 500 * time.Millisecond, membership.Resting},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRoster()
-			r.Changed(start, ready("a", 1))
+			r.ApplyUpdate(start, ready("a", 1))
 			r.Rests("a", start.Add(rest))
 			if tc.do != nil {
 				tc.do(r)
@@ -59,7 +59,7 @@
 	for i := range targets {
 		id := fmt.Sprintf("t-%d", i)
 		rank := &domain.Rank{Group: "g", Number: i, Size: targets, Open: true}
-		r.Changed(start, membership.News{ID: domain.InstanceID(id), At: pos(1), Target: target(id, domain.TargetReady, rank)})
+		r.ApplyUpdate(start, membership.TargetUpdate{ID: domain.InstanceID(id), At: pos(1), Target: target(id, domain.TargetReady, rank)})
 		if i < resting {
 			for range 8 { // enough for an ejection
 				r.Failed(start, domain.InstanceID(id))
@@ -87,19 +87,19 @@
 	const ready, leaves = domain.TargetReady, domain.TargetLeaving
 	for _, tc := range []struct {
 		name string
-		news []membership.News // after the first start reported that it is leaving
+		news []membership.TargetUpdate // after the first start reported that it is leaving
 		id   domain.InstanceID // whether it may be used
 		want bool
 	}{
 		{"nothing else", nil, startOf(1), false},
-		{"the list says that it is ready", []membership.News{born(1, ready, 2)}, startOf(1), false},
-		{"its entry goes and comes again", []membership.News{gone("a", 2), born(1, ready, 3)}, startOf(1), false},
-		{"it starts again", []membership.News{born(2, ready, 2)}, startOf(2), true},
-		{"it starts again after the list knew too", []membership.News{born(1, leaves, 2), born(2, ready, 3)}, startOf(2), true},
+		{"the list says that it is ready", []membership.TargetUpdate{born(1, ready, 2)}, startOf(1), false},
+		{"its entry goes and comes again", []membership.TargetUpdate{gone("a", 2), born(1, ready, 3)}, startOf(1), false},
+		{"it starts again", []membership.TargetUpdate{born(2, ready, 2)}, startOf(2), true},
+		{"it starts again after the list knew too", []membership.TargetUpdate{born(1, leaves, 2), born(2, ready, 3)}, startOf(2), true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRoster()
-			r.Changed(start, born(1, ready, 1))
+			r.ApplyUpdate(start, born(1, ready, 1))
 			if tc.want {
 				r.Rests(startOf(1), start.Add(time.Minute))
 			}
@@ -110,7 +110,7 @@
 				t.Error("it is news twice")
 			}
 			for _, n := range tc.news {
-				r.Changed(start, n)
+				r.ApplyUpdate(start, n)
 			}
 			if got := mayBeUsed(r, start, string(tc.id)); got != tc.want || r.Wanted(start, tc.id) != tc.want {
 				t.Errorf("may be used: %v, wanted: %v", got, r.Wanted(start, tc.id))
@@ -118,7 +118,7 @@
 		})
 	}
 	r := newRoster()
-	r.Changed(start, born(1, leaves, 1))
+	r.ApplyUpdate(start, born(1, leaves, 1))
 	if r.Leaves(start, startOf(1)) {
 		t.Error("it is news although the list said so")
 	}
@@ -130,8 +130,8 @@
 // TestLeaversAreToldForAWhile: to other boxes, from when this box learned of it.
 func TestLeaversAreToldForAWhile(t *testing.T) {
 	r := newRoster()
-	r.Changed(start, ready("a", 1))
-	r.Changed(start, ready("b", 2))
+	r.ApplyUpdate(start, ready("a", 1))
+	r.ApplyUpdate(start, ready("b", 2))
 	r.Leaves(start, "b")
 	r.Leaves(start.Add(time.Second), "a")
 	r.Leaves(start.Add(2*time.Second), "b") // heard again from a box that it told
--- a/membership/failure_reports_test.go
+++ b/membership/failure_reports_test.go
@@ -19,7 +19,7 @@
 	for i := range n {
 		g := &domain.Rank{Group: "g", Epoch: 1, Number: i, Size: n, Open: true}
 		id := rankID(i)
-		r.Changed(start, membership.News{ID: id, At: pos(store.Revision(i + 1)), Target: target(string(id), domain.TargetReady, g)})
+		r.ApplyUpdate(start, membership.TargetUpdate{ID: id, At: pos(store.Revision(i + 1)), Target: target(string(id), domain.TargetReady, g)})
 	}
 	return r
 }
--- a/membership/groups_test.go
+++ b/membership/groups_test.go
@@ -19,7 +19,7 @@
 	list := func(r *membership.Roster, rev store.Revision, epoch uint64, open bool) {
 		for i := range ranks {
 			g := place(i, epoch, open)
-			r.Changed(start, membership.News{ID: rankID(i), At: pos(rev + store.Revision(i)), Target: target(string(rankID(i)), domain.TargetReady, &g)})
+			r.ApplyUpdate(start, membership.TargetUpdate{ID: rankID(i), At: pos(rev + store.Revision(i)), Target: target(string(rankID(i)), domain.TargetReady, &g)})
 		}
 	}
 	says := func(r *membership.Roster, rank int, epoch uint64, open bool) {
--- a/membership/restored.go
+++ b/membership/restored.go
@@ -21,14 +21,14 @@
 
 // restored reports whether the news is of the first list after a restore, and follows what was
 // known before it. The list may then be as old as the copy.
-func (r *Roster) restored(e *entry, n News) bool {
+func (r *Roster) restored(e *entry, n TargetUpdate) bool {
 	return n.At.Era() > e.at.Era() && !e.at.IsZero() && !n.At.After(r.restoredTo)
 }
 
 // outdated reports whether the entry that a list has after a restore says less than what is known
 // of the start: the copy was taken before the target left, lapsed or joined its group anew. A
 // start that was leaving never is ready again; any other entry counts once the list has settled.
-func (r *Roster) outdated(now time.Time, e *entry, n News) bool {
+func (r *Roster) outdated(now time.Time, e *entry, n TargetUpdate) bool {
 	own := e.target.ID()
 	if !r.restored(e, n) || n.Target == nil || own != "" && n.ID != own {
 		return false
--- a/membership/restored_test.go
+++ b/membership/restored_test.go
@@ -10,7 +10,7 @@
 )
 
 // in moves news into the era.
-func in(era store.Era, n membership.News) membership.News {
+func in(era store.Era, n membership.TargetUpdate) membership.TargetUpdate {
 	n.At = store.PositionOf(era, n.At.Revision())
 	return n
 }
@@ -20,79 +20,79 @@
 // before they left or came.
 func TestAnOlderCopyNeitherRevivesNorLosesTargets(t *testing.T) {
 	const settled = 20 * time.Second
-	second := func(n membership.News) membership.News { return in(2, n) }
+	second := func(n membership.TargetUpdate) membership.TargetUpdate { return in(2, n) }
 	tests := []struct {
 		name   string
-		before []membership.News // changes of the first era
-		copied []membership.News // the first list after the restore
-		after  []membership.News // changes after that list
-		listed []membership.News // a list long after the restore
+		before []membership.TargetUpdate // changes of the first era
+		copied []membership.TargetUpdate // the first list after the restore
+		after  []membership.TargetUpdate // changes after that list
+		listed []membership.TargetUpdate // a list long after the restore
 		soon   bool              // used two seconds after the restore
 		late   bool              // used after the later list
 	}{
 		{
-			name: "nothing changed", before: []membership.News{ready("a", 30)},
-			copied: []membership.News{ready("a", 30)}, listed: []membership.News{ready("a", 30)}, soon: true, late: true,
+			name: "nothing changed", before: []membership.TargetUpdate{ready("a", 30)},
+			copied: []membership.TargetUpdate{ready("a", 30)}, listed: []membership.TargetUpdate{ready("a", 30)}, soon: true, late: true,
 		},
 		{
-			name: "it was gone", before: []membership.News{ready("a", 30), gone("a", 50)},
-			copied: []membership.News{ready("a", 30)}, listed: nil,
+			name: "it was gone", before: []membership.TargetUpdate{ready("a", 30), gone("a", 50)},
+			copied: []membership.TargetUpdate{ready("a", 30)}, listed: nil,
 		},
 		{
-			name: "it was gone, and its entry goes again", before: []membership.News{ready("a", 30), gone("a", 50)},
-			copied: []membership.News{ready("a", 30)}, after: []membership.News{gone("a", 45)}, listed: nil,
+			name: "it was gone, and its entry goes again", before: []membership.TargetUpdate{ready("a", 30), gone("a", 50)},
+			copied: []membership.TargetUpdate{ready("a", 30)}, after: []membership.TargetUpdate{gone("a", 45)}, listed: nil,
 		},
 		{
-			name: "its entry had lapsed, and it writes it again", before: []membership.News{ready("a", 30), gone("a", 50)},
-			copied: []membership.News{ready("a", 30)}, after: []membership.News{ready("a", 45)}, listed: []membership.News{ready("a", 45)}, soon: true, late: true,
+			name: "its entry had lapsed, and it writes it again", before: []membership.TargetUpdate{ready("a", 30), gone("a", 50)},
+			copied: []membership.TargetUpdate{ready("a", 30)}, after: []membership.TargetUpdate{ready("a", 45)}, listed: []membership.TargetUpdate{ready("a", 45)}, soon: true, late: true,
 		},
 		{
-			name: "its entry had lapsed, and the copy's stays", before: []membership.News{ready("a", 30), gone("a", 50)},
-			copied: []membership.News{ready("a", 30)}, listed: []membership.News{ready("a", 30)}, late: true,
+			name: "its entry had lapsed, and the copy's stays", before: []membership.TargetUpdate{ready("a", 30), gone("a", 50)},
+			copied: []membership.TargetUpdate{ready("a", 30)}, listed: []membership.TargetUpdate{ready("a", 30)}, late: true,
 		},
 		{
-			name: "it was leaving", before: []membership.News{ready("a", 30), leaving("a", 50)},
-			copied: []membership.News{ready("a", 30)}, listed: []membership.News{ready("a", 30)},
+			name: "it was leaving", before: []membership.TargetUpdate{ready("a", 30), leaving("a", 50)},
+			copied: []membership.TargetUpdate{ready("a", 30)}, listed: []membership.TargetUpdate{ready("a", 30)},
 		},
 		{
-			name: "it was leaving, and says so again", before: []membership.News{ready("a", 30), leaving("a", 50)},
-			copied: []membership.News{ready("a", 30)}, after: []membership.News{leaving("a", 41)}, listed: []membership.News{leaving("a", 41)},
+			name: "it was leaving, and says so again", before: []membership.TargetUpdate{ready("a", 30), leaving("a", 50)},
+			copied: []membership.TargetUpdate{ready("a", 30)}, after: []membership.TargetUpdate{leaving("a", 41)}, listed: []membership.TargetUpdate{leaving("a", 41)},
 		},
 		{
-			name: "it came after the copy, and writes again", before: []membership.News{ready("a", 50)},
-			after: []membership.News{ready("a", 42)}, listed: []membership.News{ready("a", 42)}, soon: true, late: true,
+			name: "it came after the copy, and writes again", before: []membership.TargetUpdate{ready("a", 50)},
+			after: []membership.TargetUpdate{ready("a", 42)}, listed: []membership.TargetUpdate{ready("a", 42)}, soon: true, late: true,
 		},
 		{
-			name: "it came after the copy, and never writes again", before: []membership.News{ready("a", 50)}, soon: true,
+			name: "it came after the copy, and never writes again", before: []membership.TargetUpdate{ready("a", 50)}, soon: true,
 		},
 		{
-			name: "it leaves after the restore", before: []membership.News{ready("a", 30)},
-			copied: []membership.News{ready("a", 30)}, after: []membership.News{leaving("a", 41)}, listed: []membership.News{leaving("a", 41)},
+			name: "it leaves after the restore", before: []membership.TargetUpdate{ready("a", 30)},
+			copied: []membership.TargetUpdate{ready("a", 30)}, after: []membership.TargetUpdate{leaving("a", 41)}, listed: []membership.TargetUpdate{leaving("a", 41)},
 		},
 		{
-			name: "it comes after the restore", after: []membership.News{ready("a", 41)}, listed: []membership.News{ready("a", 41)}, soon: true, late: true,
+			name: "it comes after the restore", after: []membership.TargetUpdate{ready("a", 41)}, listed: []membership.TargetUpdate{ready("a", 41)}, soon: true, late: true,
 		},
 		{
-			name: "it is known from the copy only", copied: []membership.News{ready("a", 30)}, listed: []membership.News{ready("a", 30)}, soon: true, late: true,
+			name: "it is known from the copy only", copied: []membership.TargetUpdate{ready("a", 30)}, listed: []membership.TargetUpdate{ready("a", 30)}, soon: true, late: true,
 		},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRoster()
-			r.Listed(start, pos(1), nil)
+			r.ApplyList(start, pos(1), nil)
 			for _, n := range tc.before {
-				r.Changed(start, n)
+				r.ApplyUpdate(start, n)
 			}
 			restored := start.Add(time.Minute)
 			r.StoreTroubled(restored)
-			r.Listed(restored, store.PositionOf(2, 40), mapped(tc.copied, second))
+			r.ApplyList(restored, store.PositionOf(2, 40), mapped(tc.copied, second))
 			for _, n := range mapped(tc.after, second) {
-				r.Changed(restored.Add(time.Second), n)
+				r.ApplyUpdate(restored.Add(time.Second), n)
 			}
 			if got := mayBeUsed(r, restored.Add(2*time.Second), "a"); got != tc.soon {
 				t.Errorf("two seconds after the restore used: %v", got)
 			}
-			r.Listed(restored.Add(settled), store.PositionOf(2, 60), mapped(tc.listed, second))
+			r.ApplyList(restored.Add(settled), store.PositionOf(2, 60), mapped(tc.listed, second))
 			if got := mayBeUsed(r, restored.Add(settled), "a"); got != tc.late {
 				t.Errorf("after the later list used: %v", got)
 			}
@@ -100,8 +100,8 @@
 	}
 }
 
-func mapped(list []membership.News, f func(membership.News) membership.News) []membership.News {
-	var out []membership.News
+func mapped(list []membership.TargetUpdate, f func(membership.TargetUpdate) membership.TargetUpdate) []membership.TargetUpdate {
+	var out []membership.TargetUpdate
 	for _, n := range list {
 		out = append(out, f(n))
 	}
@@ -112,19 +112,19 @@
 // entries count as later ones.
 func TestTheRosterAfterTwoRestores(t *testing.T) {
 	r := newRoster()
-	r.Listed(start, pos(60), []membership.News{ready("lives", 20), ready("left", 30)})
-	r.Changed(start, gone("left", 61))
+	r.ApplyList(start, pos(60), []membership.TargetUpdate{ready("lives", 20), ready("left", 30)})
+	r.ApplyUpdate(start, gone("left", 61))
 	for i, era := range []store.Era{2, 3} {
 		now := start.Add(time.Duration(i+1) * 500 * time.Millisecond)
-		r.Listed(now, store.PositionOf(era, 40), []membership.News{in(era, ready("lives", 20)), in(era, ready("left", 30))})
+		r.ApplyList(now, store.PositionOf(era, 40), []membership.TargetUpdate{in(era, ready("lives", 20)), in(era, ready("left", 30))})
 		if mayBeUsed(r, now, "left") || !mayBeUsed(r, now, "lives") {
 			t.Errorf("era %d: %v", era, standings(r, now))
 		}
 	}
-	if r.Listed(start.Add(2*time.Second), pos(90), []membership.News{ready("left", 30)}) != nil {
+	if r.ApplyList(start.Add(2*time.Second), pos(90), []membership.TargetUpdate{ready("left", 30)}) != nil {
 		t.Error("a late list of the first era brought news")
 	}
-	r.Changed(start.Add(2*time.Second), in(2, leaving("lives", 90)))
+	r.ApplyUpdate(start.Add(2*time.Second), in(2, leaving("lives", 90)))
 	if at := r.At(); at != store.PositionOf(3, 40) {
 		t.Errorf("a late change of the second era moved the list to %v", at)
 	}
@@ -137,21 +137,21 @@
 // formation that replaces the later one.
 func TestACopyDoesNotTakeBackWhatATargetReported(t *testing.T) {
 	r := newRoster()
-	entry := func(at store.Position, epoch uint64) membership.News {
+	entry := func(at store.Position, epoch uint64) membership.TargetUpdate {
 		rank := &domain.Rank{Group: "g", Epoch: epoch, Number: 0, Size: 1, Open: true}
-		return membership.News{ID: "a", At: at, Target: target("a", domain.TargetReady, rank)}
+		return membership.TargetUpdate{ID: "a", At: at, Target: target("a", domain.TargetReady, rank)}
 	}
 	epoch := func() uint64 {
 		x, _ := r.Get("a")
 		rank, _ := x.Rank()
 		return rank.Epoch
 	}
-	r.Listed(start, pos(50), []membership.News{entry(pos(50), 2)})
-	r.Listed(start, store.PositionOf(2, 40), []membership.News{entry(store.PositionOf(2, 30), 1)})
+	r.ApplyList(start, pos(50), []membership.TargetUpdate{entry(pos(50), 2)})
+	r.ApplyList(start, store.PositionOf(2, 40), []membership.TargetUpdate{entry(store.PositionOf(2, 30), 1)})
 	if epoch() != 2 {
 		t.Errorf("epoch %d by the copy", epoch())
 	}
-	r.Changed(start, entry(store.PositionOf(2, 41), 3))
+	r.ApplyUpdate(start, entry(store.PositionOf(2, 41), 3))
 	if epoch() != 3 {
 		t.Errorf("epoch %d after the entry was written again", epoch())
 	}
--- a/membership/roster.go
+++ b/membership/roster.go
@@ -133,9 +133,9 @@
 // StoreTroubled records that the store is away, or was until now.
 func (r *Roster) StoreTroubled(now time.Time) { r.storeBack = now }
 
-// News is one change of the list: a target as it stands now, or none where its
+// TargetUpdate is one change of the list: a target as it stands now, or none where its
 // entry is gone or names none.
-type News struct {
+type TargetUpdate struct {
 	// ID is the start that the entry speaks of. Where there is no target it may be no
 	// more than the listed id, and speaks of whichever start stands under that.
 	ID     domain.InstanceID
@@ -147,22 +147,22 @@
 	Unusable bool
 }
 
-// Listed takes the whole list as it was at the position. A list older than what is
+// ApplyList takes the whole list as it was at the position. A list older than what is
 // known is passed over. It returns the news in it.
-func (r *Roster) Listed(now time.Time, at store.Position, list []News) []News {
+func (r *Roster) ApplyList(now time.Time, at store.Position, list []TargetUpdate) []TargetUpdate {
 	if r.at.After(at) {
 		return nil
 	}
 	r.enter(now, at)
 	present := make(map[domain.ListedID]bool, len(list))
-	var fresh []News
+	var fresh []TargetUpdate
 	for _, n := range list {
 		present[n.ID.Listed()] = true
-		fresh = append(fresh, r.Changed(now, n)...)
+		fresh = append(fresh, r.ApplyUpdate(now, n)...)
 	}
 	for id, e := range r.entries {
 		if !present[id] && e.goneAt.IsZero() && !e.at.After(at) {
-			fresh = append(fresh, r.Changed(now, News{ID: domain.InstanceID(id), At: at})...)
+			fresh = append(fresh, r.ApplyUpdate(now, TargetUpdate{ID: domain.InstanceID(id), At: at})...)
 		}
 	}
 	r.at = store.Later(r.at, at)
@@ -170,8 +170,8 @@
 	return fresh
 }
 
-// Changed takes one change of the list, and returns it if it was news.
-func (r *Roster) Changed(now time.Time, n News) []News {
+// ApplyUpdate takes one change of the list, and returns it if it was news.
+func (r *Roster) ApplyUpdate(now time.Time, n TargetUpdate) []TargetUpdate {
 	r.at, r.newest = store.Later(r.at, n.At), store.Later(r.newest, n.At)
 	e, known := r.entries[n.ID.Listed()]
 	if !known {
@@ -188,20 +188,20 @@
 	e.at = store.Later(e.at, n.At)
 	if n.Target == nil {
 		r.vanish(now, e, lost, n.Unusable)
-		return []News{n}
+		return []TargetUpdate{n}
 	}
 	if e.target.ID() != n.Target.ID() {
 		*e = entry{at: e.at} // nothing of the start before holds for this one
 	}
 	e.target = *n.Target
 	e.goneAt, e.grace = time.Time{}, time.Time{}
-	return []News{n}
+	return []TargetUpdate{n}
 }
 
 // before reports that what is known comes before the news: that is of a later start, or
 // of the same at a later position. The entry of an earlier start that reached the store
 // late is passed over.
-func (e *entry) before(n News) bool {
+func (e *entry) before(n TargetUpdate) bool {
 	born, own := n.ID.Born(), e.target.ID().Born()
 	if n.Target == nil || born == own || !e.goneAt.IsZero() && e.at.After(n.At) {
 		return n.At.After(e.at)
@@ -338,12 +338,12 @@
 }
 
 // All returns the listed targets as news, in order of their ids, for passing on.
-func (r *Roster) All() []News {
-	var list []News
+func (r *Roster) All() []TargetUpdate {
+	var list []TargetUpdate
 	for _, e := range r.entries {
 		if e.goneAt.IsZero() {
 			t := e.target
-			list = append(list, News{ID: t.ID(), At: e.at, Target: &t})
+			list = append(list, TargetUpdate{ID: t.ID(), At: e.at, Target: &t})
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
--- a/membership/roster_test.go
+++ b/membership/roster_test.go
@@ -29,16 +29,16 @@
 	return &t
 }
 
-func ready(id string, rev store.Revision) membership.News {
-	return membership.News{ID: domain.InstanceID(id), At: pos(rev), Target: target(id, domain.TargetReady, nil)}
+func ready(id string, rev store.Revision) membership.TargetUpdate {
+	return membership.TargetUpdate{ID: domain.InstanceID(id), At: pos(rev), Target: target(id, domain.TargetReady, nil)}
 }
 
-func leaving(id string, rev store.Revision) membership.News {
-	return membership.News{ID: domain.InstanceID(id), At: pos(rev), Target: target(id, domain.TargetLeaving, nil)}
+func leaving(id string, rev store.Revision) membership.TargetUpdate {
+	return membership.TargetUpdate{ID: domain.InstanceID(id), At: pos(rev), Target: target(id, domain.TargetLeaving, nil)}
 }
 
-func gone(id string, rev store.Revision) membership.News {
-	return membership.News{ID: domain.InstanceID(id), At: pos(rev)}
+func gone(id string, rev store.Revision) membership.TargetUpdate {
+	return membership.TargetUpdate{ID: domain.InstanceID(id), At: pos(rev)}
 }
 
 // standings are those of the service's targets, by id; leaving ones are left out.
@@ -58,22 +58,22 @@
 func TestLeavingTargetsGetNothing(t *testing.T) {
 	tests := []struct {
 		name string
-		news []membership.News
+		news []membership.TargetUpdate
 		want bool
 	}{
-		{"ready", []membership.News{ready("a", 1)}, true},
-		{"leaving", []membership.News{ready("a", 1), leaving("a", 2)}, false},
-		{"gone without a word", []membership.News{ready("a", 1), gone("a", 2)}, false},
-		{"older news of its leaving", []membership.News{ready("a", 5), leaving("a", 4)}, true},
-		{"older news of its being ready", []membership.News{leaving("a", 5), ready("a", 4)}, false},
-		{"back under the same id", []membership.News{ready("a", 1), gone("a", 2), ready("a", 3)}, true},
-		{"older news after it went", []membership.News{gone("a", 5), ready("a", 4)}, false},
+		{"ready", []membership.TargetUpdate{ready("a", 1)}, true},
+		{"leaving", []membership.TargetUpdate{ready("a", 1), leaving("a", 2)}, false},
+		{"gone without a word", []membership.TargetUpdate{ready("a", 1), gone("a", 2)}, false},
+		{"older news of its leaving", []membership.TargetUpdate{ready("a", 5), leaving("a", 4)}, true},
+		{"older news of its being ready", []membership.TargetUpdate{leaving("a", 5), ready("a", 4)}, false},
+		{"back under the same id", []membership.TargetUpdate{ready("a", 1), gone("a", 2), ready("a", 3)}, true},
+		{"older news after it went", []membership.TargetUpdate{gone("a", 5), ready("a", 4)}, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRoster()
 			for _, n := range tc.news {
-				r.Changed(start, n)
+				r.ApplyUpdate(start, n)
 			}
 			if got := mayBeUsed(r, start, "a"); got != tc.want {
 				t.Errorf("usable: %v", got)
@@ -84,20 +84,20 @@
 
 func TestAListTakesAwayWhatIsNotInIt(t *testing.T) {
 	r := newRoster()
-	r.Listed(start, pos(10), []membership.News{ready("a", 1), ready("b", 2)})
-	fresh := r.Listed(start, pos(20), []membership.News{ready("b", 2), ready("c", 15)})
+	r.ApplyList(start, pos(10), []membership.TargetUpdate{ready("a", 1), ready("b", 2)})
+	fresh := r.ApplyList(start, pos(20), []membership.TargetUpdate{ready("b", 2), ready("c", 15)})
 	if len(fresh) != 2 { // c came, a went
 		t.Errorf("news: %+v", fresh)
 	}
 	if mayBeUsed(r, start, "a") || !mayBeUsed(r, start, "b") || !mayBeUsed(r, start, "c") {
 		t.Errorf("got %v", standings(r, start))
 	}
-	if r.Listed(start, pos(15), []membership.News{ready("a", 1)}) != nil {
+	if r.ApplyList(start, pos(15), []membership.TargetUpdate{ready("a", 1)}) != nil {
 		t.Error("an older list brought news")
 	}
-	r.Changed(start, ready("d", 30)) // known from a peer, past the next list
-	r.Listed(start, pos(30), nil)
-	r.Listed(start, pos(25), nil)
+	r.ApplyUpdate(start, ready("d", 30)) // known from a peer, past the next list
+	r.ApplyList(start, pos(30), nil)
+	r.ApplyList(start, pos(25), nil)
 	if mayBeUsed(r, start, "b") {
 		t.Error("an empty list left a target")
 	}
@@ -105,12 +105,12 @@
 
 func TestEntriesThatLapseWithTheStoreAreUsedForAWhile(t *testing.T) {
 	r := newRoster()
-	r.Changed(start, ready("a", 1))
-	r.Changed(start, leaving("b", 2))
+	r.ApplyUpdate(start, ready("a", 1))
+	r.ApplyUpdate(start, leaving("b", 2))
 	r.StoreTroubled(start)
 	back := start.Add(time.Second)
-	r.Changed(back, gone("a", 3))
-	r.Changed(back, gone("b", 4))
+	r.ApplyUpdate(back, gone("a", 3))
+	r.ApplyUpdate(back, gone("b", 4))
 	if s := standings(r, back)["a"]; s != membership.Lapsed {
 		t.Errorf("a: %v", s)
 	}
@@ -120,7 +120,7 @@
 	if end := back.Add(drain - time.Millisecond); mayBeUsed(r, end, "a") {
 		t.Error("still used when the platform's bound ends")
 	}
-	r.Changed(back.Add(time.Second), ready("a", 9))
+	r.ApplyUpdate(back.Add(time.Second), ready("a", 9))
 	if s := standings(r, back.Add(drain))["a"]; s != membership.Good {
 		t.Errorf("listed again: %v", s)
 	}
@@ -128,10 +128,10 @@
 
 func TestAnEntryThatGoesWhileTheStoreIsWellMeansLeaving(t *testing.T) {
 	r := newRoster()
-	r.Changed(start, ready("a", 1))
+	r.ApplyUpdate(start, ready("a", 1))
 	r.StoreTroubled(start)
 	later := start.Add(time.Minute)
-	r.Changed(later, gone("a", 2))
+	r.ApplyUpdate(later, gone("a", 2))
 	if mayBeUsed(r, later, "a") {
 		t.Error("used although the store has long been well")
 	}
@@ -139,7 +139,7 @@
 
 func TestAnotherInstanceAtTheAddress(t *testing.T) {
 	r := newRoster()
-	r.Changed(start, ready("a", 1))
+	r.ApplyUpdate(start, ready("a", 1))
 	r.Replaced("a")
 	if mayBeUsed(r, start, "a") {
 		t.Error("still used")
@@ -148,7 +148,7 @@
 
 func TestUnreachableTargetsAreNotTriedForAWhile(t *testing.T) {
 	r := newRoster()
-	r.Changed(start, ready("a", 1))
+	r.ApplyUpdate(start, ready("a", 1))
 	r.Unreachable(start, "a")
 	if mayBeUsed(r, start.Add(500*time.Millisecond), "a") {
 		t.Error("tried again after half a second")
@@ -167,7 +167,7 @@
 	r := newRoster()
 	ids := []domain.InstanceID{"a", "b", "c", "d"}
 	for i, id := range ids {
-		r.Changed(start, ready(string(id), store.Revision(i+1)))
+		r.ApplyUpdate(start, ready(string(id), store.Revision(i+1)))
 	}
 	for range 10 {
 		r.Failed(start, "a")
@@ -198,7 +198,7 @@
 func TestAServiceThatFailsAltogetherSuspectsNobody(t *testing.T) {
 	r := newRoster()
 	for i, id := range []string{"a", "b"} {
-		r.Changed(start, ready(id, store.Revision(i+1)))
+		r.ApplyUpdate(start, ready(id, store.Revision(i+1)))
 	}
 	for range 20 {
 		r.Failed(start, "a")
@@ -215,7 +215,7 @@
 func group(r *membership.Roster, rev store.Revision, epoch uint64, open bool) {
 	for i, id := range []string{"r0", "r1"} {
 		rank := &domain.Rank{Group: "g", Epoch: epoch, Number: i, Size: 2, Open: open}
-		r.Changed(start, membership.News{ID: domain.InstanceID(id), At: pos(rev + store.Revision(i)), Target: target(id, domain.TargetReady, rank)})
+		r.ApplyUpdate(start, membership.TargetUpdate{ID: domain.InstanceID(id), At: pos(rev + store.Revision(i)), Target: target(id, domain.TargetReady, rank)})
 	}
 }
 
@@ -280,7 +280,7 @@
 func TestTargetsOfAHallThatIsCutAreSuspect(t *testing.T) {
 	r := newRoster()
 	for i, id := range []string{"a", "b", "c"} {
-		r.Changed(start, ready(id, store.Revision(i+1)))
+		r.ApplyUpdate(start, ready(id, store.Revision(i+1)))
 	}
 	r.Unreachable(start, "a")
 	if s := standings(r, start)["c"]; s != membership.Good {
@@ -308,7 +308,7 @@
 		if err != nil {
 			panic(err) // the fields are constant
 		}
-		r.Changed(now, membership.News{ID: t.ID(), At: pos(store.Revision(i + 1)), Target: &t})
+		r.ApplyUpdate(now, membership.TargetUpdate{ID: t.ID(), At: pos(store.Revision(i + 1)), Target: &t})
 		r.Reported(now, t.ID(), domain.Rank{}, 1, true)
 	}
 }
@@ -378,24 +378,24 @@
 
 func TestOrderOfNewsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var history []membership.News
+		var history []membership.TargetUpdate
 		for rev := range 12 {
 			id := fmt.Sprint(rapid.IntRange(0, 2).Draw(rt, "id"))
-			kinds := []membership.News{ready(id, store.Revision(rev+1)), leaving(id, store.Revision(rev+1)), gone(id, store.Revision(rev+1))}
+			kinds := []membership.TargetUpdate{ready(id, store.Revision(rev+1)), leaving(id, store.Revision(rev+1)), gone(id, store.Revision(rev+1))}
 			history = append(history, rapid.SampledFrom(kinds).Draw(rt, "news"))
 		}
 		inOrder, mixed := newRoster(), newRoster()
 		for _, n := range history {
-			inOrder.Changed(start, n)
+			inOrder.ApplyUpdate(start, n)
 		}
 		for _, i := range rapid.Permutation([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}).Draw(rt, "order") {
-			mixed.Changed(start, history[i])
+			mixed.ApplyUpdate(start, history[i])
 		}
 		if a, b := standings(inOrder, start), standings(mixed, start); fmt.Sprint(a) != fmt.Sprint(b) {
 			rt.Fatalf("in order %v, mixed %v", a, b)
 		}
 		late := newRoster()
-		late.Listed(start, inOrder.Newest(), inOrder.All())
+		late.ApplyList(start, inOrder.Newest(), inOrder.All())
 		if a, b := standings(inOrder, start), standings(late, start); fmt.Sprint(a) != fmt.Sprint(b) {
 			rt.Fatalf("in order %v, from the list of a peer %v", a, b)
 		}
@@ -406,7 +406,7 @@
 // not undo what this one heard itself.
 func TestWordThroughOthersIsOrderedByWhenItWasSpoken(t *testing.T) {
 	r := newRoster()
-	r.Changed(start, ready("a", 1))
+	r.ApplyUpdate(start, ready("a", 1))
 	open := domain.Rank{Epoch: 1, Open: true}
 	if !r.Reported(start.Add(time.Second), "a", open, 5, true) {
 		t.Error("the first word is not news")
--- a/membership/starts_test.go
+++ b/membership/starts_test.go
@@ -22,41 +22,41 @@
 }
 
 // born is news of a start of "a".
-func born(at domain.Born, state domain.TargetState, rev store.Revision) membership.News {
+func born(at domain.Born, state domain.TargetState, rev store.Revision) membership.TargetUpdate {
 	id := startOf(at)
-	return membership.News{ID: id, At: pos(rev), Target: target(string(id), state, nil)}
+	return membership.TargetUpdate{ID: id, At: pos(rev), Target: target(string(id), state, nil)}
 }
 
 // unusable is an entry of "a" that names no target, at revision 2.
-func unusable() membership.News {
-	return membership.News{ID: "a", At: pos(2), Unusable: true}
+func unusable() membership.TargetUpdate {
+	return membership.TargetUpdate{ID: "a", At: pos(2), Unusable: true}
 }
 
 func TestNewsOfAnEarlierStartSaysNothingOfALaterOne(t *testing.T) {
 	const ready, leaves = domain.TargetReady, domain.TargetLeaving
 	tests := []struct {
 		name string
-		news []membership.News
+		news []membership.TargetUpdate
 		want domain.InstanceID // that may be used; empty for none
 	}{
-		{"it starts again", []membership.News{born(1, ready, 1), born(2, ready, 2)}, startOf(2)},
-		{"it left and starts again", []membership.News{born(1, leaves, 1), born(2, ready, 2)}, startOf(2)},
-		{"the last entry of the start before comes late", []membership.News{born(2, ready, 1), born(1, leaves, 2)}, startOf(2)},
-		{"a late entry of the start before, ready", []membership.News{born(2, leaves, 1), born(1, ready, 2)}, ""},
-		{"the start before is told of by another box, late", []membership.News{born(2, ready, 5), born(1, ready, 1)}, startOf(2)},
-		{"the later start is told of by another box, late", []membership.News{born(1, ready, 5), born(2, ready, 3)}, startOf(2)},
-		{"it went after that", []membership.News{born(1, ready, 1), gone("a", 9), born(2, ready, 3)}, ""},
-		{"its entry goes and comes", []membership.News{born(1, ready, 1), gone("a", 2), born(2, ready, 3)}, startOf(2)},
-		{"an entry without its birth is another writer's", []membership.News{born(1, ready, 1), born(0, ready, 2)}, ""},
-		{"and the next of its own holds", []membership.News{born(1, ready, 1), born(0, ready, 2), born(1, ready, 3)}, startOf(1)},
-		{"an entry that names no target", []membership.News{born(1, ready, 1), unusable()}, ""},
-		{"older than what is known", []membership.News{born(1, ready, 3), unusable()}, startOf(1)},
+		{"it starts again", []membership.TargetUpdate{born(1, ready, 1), born(2, ready, 2)}, startOf(2)},
+		{"it left and starts again", []membership.TargetUpdate{born(1, leaves, 1), born(2, ready, 2)}, startOf(2)},
+		{"the last entry of the start before comes late", []membership.TargetUpdate{born(2, ready, 1), born(1, leaves, 2)}, startOf(2)},
+		{"a late entry of the start before, ready", []membership.TargetUpdate{born(2, leaves, 1), born(1, ready, 2)}, ""},
+		{"the start before is told of by another box, late", []membership.TargetUpdate{born(2, ready, 5), born(1, ready, 1)}, startOf(2)},
+		{"the later start is told of by another box, late", []membership.TargetUpdate{born(1, ready, 5), born(2, ready, 3)}, startOf(2)},
+		{"it went after that", []membership.TargetUpdate{born(1, ready, 1), gone("a", 9), born(2, ready, 3)}, ""},
+		{"its entry goes and comes", []membership.TargetUpdate{born(1, ready, 1), gone("a", 2), born(2, ready, 3)}, startOf(2)},
+		{"an entry without its birth is another writer's", []membership.TargetUpdate{born(1, ready, 1), born(0, ready, 2)}, ""},
+		{"and the next of its own holds", []membership.TargetUpdate{born(1, ready, 1), born(0, ready, 2), born(1, ready, 3)}, startOf(1)},
+		{"an entry that names no target", []membership.TargetUpdate{born(1, ready, 1), unusable()}, ""},
+		{"older than what is known", []membership.TargetUpdate{born(1, ready, 3), unusable()}, startOf(1)},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRoster()
 			for _, n := range tc.news {
-				r.Changed(start, n)
+				r.ApplyUpdate(start, n)
 			}
 			list := r.Ranked(start, "s")
 			switch {
@@ -71,13 +71,13 @@
 
 func TestNothingThatIsKnownOfAStartHoldsForTheNext(t *testing.T) {
 	r := newRoster()
-	r.Changed(start, born(1, domain.TargetReady, 1))
+	r.ApplyUpdate(start, born(1, domain.TargetReady, 1))
 	r.Replaced(startOf(1))
 	for range 9 {
 		r.Failed(start, startOf(1))
 	}
 	r.Unreachable(start, startOf(1))
-	r.Changed(start, born(2, domain.TargetReady, 2))
+	r.ApplyUpdate(start, born(2, domain.TargetReady, 2))
 	if s := r.Ranked(start, "s"); len(s) != 1 || s[0].Standing != membership.Good {
 		t.Errorf("the next start stands as %v", s)
 	}
@@ -100,13 +100,13 @@
 
 func TestAnEntryThatNamesNoTargetIsNoLapse(t *testing.T) {
 	r := newRoster()
-	r.Changed(start, ready("a", 1))
+	r.ApplyUpdate(start, ready("a", 1))
 	r.StoreTroubled(start)
-	r.Changed(start, unusable())
+	r.ApplyUpdate(start, unusable())
 	if mayBeUsed(r, start, "a") {
 		t.Error("used as if its entry had lapsed with the store")
 	}
-	fresh := r.Listed(start, pos(5), []membership.News{unusable(), ready("b", 3)})
+	fresh := r.ApplyList(start, pos(5), []membership.TargetUpdate{unusable(), ready("b", 3)})
 	if len(fresh) != 1 || mayBeUsed(r, start, "a") || !mayBeUsed(r, start, "b") {
 		t.Errorf("a listing says otherwise than a change: %v", fresh)
 	}
@@ -117,7 +117,7 @@
 // all is known it is what the last entry of the last start says.
 func TestStartsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var history []membership.News
+		var history []membership.TargetUpdate
 		at := domain.Born(1)
 		for rev := store.Revision(1); rev <= 12; rev++ {
 			if rapid.IntRange(0, 3).Draw(rt, "again") == 0 {
@@ -127,8 +127,8 @@
 			history = append(history, born(at, state, rev))
 		}
 		r, latest := newRoster(), domain.Born(0)
-		deliver := func(n membership.News) {
-			r.Changed(start, n)
+		deliver := func(n membership.TargetUpdate) {
+			r.ApplyUpdate(start, n)
 			latest = max(latest, n.ID.Born())
 			for _, x := range r.Ranked(start, "s") {
 				if x.Target.ID().Born() != latest {
--- a/membership/turned_test.go
+++ b/membership/turned_test.go
@@ -14,7 +14,7 @@
 	const first, most = 250 * time.Millisecond, 4 * time.Second
 	r := newRoster()
 	for i := range 4 {
-		r.Changed(start, ready(fmt.Sprintf("t-%d", i), 1))
+		r.ApplyUpdate(start, ready(fmt.Sprintf("t-%d", i), 1))
 	}
 	suspectFor := func(now time.Time) time.Duration {
 		d := time.Duration(0)
@@ -45,7 +45,7 @@
 	const targets = 6
 	r := newRoster()
 	for i := range targets {
-		r.Changed(start, ready(fmt.Sprintf("t-%d", i), 1))
+		r.ApplyUpdate(start, ready(fmt.Sprintf("t-%d", i), 1))
 		r.TurnedAway(start, ready(fmt.Sprintf("t-%d", i), 1).ID)
 	}
 	good := 0
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	news := []membership.News{{ID: "i-1", At: pos(9), Target: &target}, {ID: "i-2", At: pos(10)}}
+	news := []membership.TargetUpdate{{ID: "i-1", At: pos(9), Target: &target}, {ID: "i-2", At: pos(10)}}
 	p := &mesh.Pulled{At: pos(10), Targets: mesh.ListOf(news)}
 	back, err := p.News()
 	if err != nil || !reflect.DeepEqual(back, news) {
--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -126,7 +126,7 @@
 }
 
 // ListOf turns news into a message.
-func ListOf(news []membership.News) []TargetNews {
+func ListOf(news []membership.TargetUpdate) []TargetNews {
 	list := make([]TargetNews, 0, len(news))
 	for _, n := range news {
 		t := TargetNews{ID: n.ID, At: n.At}
@@ -140,10 +140,10 @@
 }
 
 // News checks and gives back what ListOf took.
-func (p *Pulled) News() ([]membership.News, error) {
-	list := make([]membership.News, 0, len(p.Targets))
+func (p *Pulled) News() ([]membership.TargetUpdate, error) {
+	list := make([]membership.TargetUpdate, 0, len(p.Targets))
 	for _, t := range p.Targets {
-		n := membership.News{ID: t.ID, At: t.At}
+		n := membership.TargetUpdate{ID: t.ID, At: t.At}
 		if t.Target != nil {
 			target, err := domain.NewTarget(*t.Target)
 			if err != nil {
--- a/node/view.go
+++ b/node/view.go
@@ -57,13 +57,13 @@
 }
 
 // targets takes the whole list of targets.
-func (v *view) targets(at store.Position, news []membership.News, source string) {
+func (v *view) targets(at store.Position, news []membership.TargetUpdate, source string) {
 	now := clock.Now()
-	var fresh []membership.News
+	var fresh []membership.TargetUpdate
 	var known store.Position
 	v.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		known = r.At()
-		fresh = r.Listed(now, at, news)
+		fresh = r.ApplyList(now, at, news)
 	})
 	if known.After(at) {
 		v.common.Log.Warn("list of targets ignored, a later one is known", "at", at, "source", source, "known", known)
@@ -73,12 +73,12 @@
 }
 
 // changes takes changes of the list of targets.
-func (v *view) changes(at store.Position, news []membership.News, source string) {
+func (v *view) changes(at store.Position, news []membership.TargetUpdate, source string) {
 	now := clock.Now()
-	var fresh []membership.News
+	var fresh []membership.TargetUpdate
 	v.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		for _, n := range news {
-			fresh = append(fresh, r.Changed(now, n)...)
+			fresh = append(fresh, r.ApplyUpdate(now, n)...)
 		}
 		r.CaughtUp(at)
 	})
@@ -86,7 +86,7 @@
 	v.logNews(fresh, source)
 }
 
-func (v *view) logNews(fresh []membership.News, source string) {
+func (v *view) logNews(fresh []membership.TargetUpdate, source string) {
 	if len(fresh) > 0 {
 		v.moved()
 	}
@@ -106,10 +106,10 @@
 
 // decodeTargets turns records into news. One that does not decode is logged and names no
 // target to use; the others go on.
-func (v *view) decodeTargets(events []store.Event) []membership.News {
-	var list []membership.News
+func (v *view) decodeTargets(events []store.Event) []membership.TargetUpdate {
+	var list []membership.TargetUpdate
 	for _, e := range events {
-		n := membership.News{ID: domain.InstanceID(e.Record.Name), At: e.Record.At}
+		n := membership.TargetUpdate{ID: domain.InstanceID(e.Record.Name), At: e.Record.At}
 		if !e.Removed {
 			n = v.decodeTarget(n, e.Record)
 		}
@@ -118,7 +118,7 @@
 	return list
 }
 
-func (v *view) decodeTarget(n membership.News, r store.Record) membership.News {
+func (v *view) decodeTarget(n membership.TargetUpdate, r store.Record) membership.TargetUpdate {
 	t, err := platform.DecodeTarget(r)
 	if err != nil {
 		v.common.Log.Error("target entry rejected", "target", r.Name, "at", r.At, "err", err)
--- a/node/watching.go
+++ b/node/watching.go
@@ -213,7 +213,7 @@
 // of its group, if all are listed in one epoch, and who hands orders on for it.
 func (w *watching) groupUpdate(id domain.InstanceID) *mesh.WatchQuery {
 	var target domain.Target
-	var news []membership.News
+	var news []membership.TargetUpdate
 	w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		target, _ = r.Get(id)
 		news = r.All()
