--- a/membership/asked.go
+++ b/membership/target_requests.go
@@ -10,20 +10,20 @@
 // What targets ask of this box with their answers. It holds for the start that stated it, whatever
 // the list has: that lags, and does not show whom a target asked for rest.
 
-// Rests takes that the target wants nothing from this box until the time. Of several times the
+// RestRequested takes that the target wants nothing from this box until the time. Of several times the
 // latest counts: an earlier one may come later from a request that was under way.
 //
 // One that turns all away has nothing open and seems to have most room, so that without this it
 // would draw the load.
-func (r *Roster) Rests(id domain.InstanceID, until time.Time) {
+func (r *Roster) RestRequested(id domain.InstanceID, until time.Time) {
 	if e, ok := r.of(id); ok && until.After(e.restTo) {
 		e.restTo = until
 	}
 }
 
-// Leaves takes that the target reports that it is leaving, to this box or to another. It reports
+// LeavingReported takes that the target reports that it is leaving, to this box or to another. It reports
 // whether that was news: the list may have reported it before.
-func (r *Roster) Leaves(now time.Time, id domain.InstanceID) bool {
+func (r *Roster) LeavingReported(now time.Time, id domain.InstanceID) bool {
 	e, ok := r.of(id)
 	if !ok || !e.leftAt.IsZero() {
 		return false
@@ -36,9 +36,9 @@
 // which the first comes at once. Each box that learns of it does the same.
 const leaverToldFor = 3 * time.Second
 
-// Leavers are the targets that lately reported that they are leaving, in order of their ids, for
+// LeavingTargets are the targets that lately reported that they are leaving, in order of their ids, for
 // other boxes: the list may not show these before the targets end.
-func (r *Roster) Leavers(now time.Time) []domain.InstanceID {
+func (r *Roster) LeavingTargets(now time.Time) []domain.InstanceID {
 	var list []domain.InstanceID
 	for _, e := range r.entries {
 		if !e.leftAt.IsZero() && now.Sub(e.leftAt) < leaverToldFor {
@@ -49,8 +49,8 @@
 	return list
 }
 
-// Wanted reports whether the target, chosen a while ago, may still be sent new work.
-func (r *Roster) Wanted(now time.Time, id domain.InstanceID) bool {
+// AcceptsWork reports whether the target, chosen a while ago, may still be sent new work.
+func (r *Roster) AcceptsWork(now time.Time, id domain.InstanceID) bool {
 	e, ok := r.of(id)
 	if !ok {
 		return false
@@ -59,9 +59,9 @@
 	return s != Resting && s != Leaving
 }
 
-// RestsUntil is when the first of the service's targets that rest takes work again; zero if
+// EarliestRestEnd is when the first of the service's targets that rest takes work again; zero if
 // none rests.
-func (r *Roster) RestsUntil(now time.Time, svc domain.ServiceName) time.Time {
+func (r *Roster) EarliestRestEnd(now time.Time, svc domain.ServiceName) time.Time {
 	var first time.Time
 	for _, e := range r.entries {
 		if e.target.Service() != svc || r.standing(now, e) != Resting {
--- a/membership/asked_test.go
+++ b/membership/target_requests_test.go
@@ -23,8 +23,8 @@
 		{"in the midst of it", nil, time.Second, membership.Resting},
 		{"just before its end", nil, rest - 1, membership.Resting},
 		{"at its end", nil, rest, membership.Good},
-		{"an answer of before asks for less", func(r *membership.Roster) { r.Rests("a", start.Add(time.Second)) }, 2 * time.Second, membership.Resting},
-		{"it asks for more", func(r *membership.Roster) { r.Rests("a", start.Add(2*rest)) }, rest, membership.Resting},
+		{"an answer of before asks for less", func(r *membership.Roster) { r.RestRequested("a", start.Add(time.Second)) }, 2 * time.Second, membership.Resting},
+		{"it asks for more", func(r *membership.Roster) { r.RestRequested("a", start.Add(2*rest)) }, rest, membership.Resting},
 		{"it serves what was under way", func(r *membership.Roster) { r.Succeeded(start, "a") }, time.Second, membership.Resting},
 		{"the list changes", func(r *membership.Roster) { r.ApplyUpdate(start, ready("a", 2)) }, time.Second, membership.Resting},
 		{"its entry lapses", func(r *membership.Roster) {
@@ -36,7 +36,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRoster()
 			r.ApplyUpdate(start, ready("a", 1))
-			r.Rests("a", start.Add(rest))
+			r.RestRequested("a", start.Add(rest))
 			if tc.do != nil {
 				tc.do(r)
 			}
@@ -44,7 +44,7 @@
 			if got := standings(r, now)["a"]; got != tc.want {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
-			if got := r.Wanted(now, "a"); got != (tc.want == membership.Good) {
+			if got := r.AcceptsWork(now, "a"); got != (tc.want == membership.Good) {
 				t.Errorf("wanted: %v", got)
 			}
 		})
@@ -64,7 +64,7 @@
 			for range 8 { // enough for an ejection
 				r.Failed(start, domain.InstanceID(id))
 			}
-			r.Rests(domain.InstanceID(id), start.Add(time.Duration(9-i)*time.Second))
+			r.RestRequested(domain.InstanceID(id), start.Add(time.Duration(9-i)*time.Second))
 		}
 	}
 	now := start.Add(time.Second)
@@ -73,10 +73,10 @@
 			t.Errorf("target %d may be used: %v", i, got)
 		}
 	}
-	if first := r.RestsUntil(now, "s"); !first.Equal(start.Add(4 * time.Second)) {
+	if first := r.EarliestRestEnd(now, "s"); !first.Equal(start.Add(4 * time.Second)) {
 		t.Errorf("the first takes work again at %v", first.Sub(start))
 	}
-	if first := r.RestsUntil(now, "another"); !first.IsZero() {
+	if first := r.EarliestRestEnd(now, "another"); !first.IsZero() {
 		t.Errorf("a target of another service rests until %v", first)
 	}
 }
@@ -101,28 +101,28 @@
 			r := newRoster()
 			r.ApplyUpdate(start, born(1, ready, 1))
 			if tc.want {
-				r.Rests(startOf(1), start.Add(time.Minute))
+				r.RestRequested(startOf(1), start.Add(time.Minute))
 			}
-			if !r.Leaves(start, startOf(1)) {
+			if !r.LeavingReported(start, startOf(1)) {
 				t.Error("it is no news that it is leaving")
 			}
-			if r.Leaves(start, startOf(1)) {
+			if r.LeavingReported(start, startOf(1)) {
 				t.Error("it is news twice")
 			}
 			for _, n := range tc.news {
 				r.ApplyUpdate(start, n)
 			}
-			if got := mayBeUsed(r, start, string(tc.id)); got != tc.want || r.Wanted(start, tc.id) != tc.want {
-				t.Errorf("may be used: %v, wanted: %v", got, r.Wanted(start, tc.id))
+			if got := mayBeUsed(r, start, string(tc.id)); got != tc.want || r.AcceptsWork(start, tc.id) != tc.want {
+				t.Errorf("may be used: %v, wanted: %v", got, r.AcceptsWork(start, tc.id))
 			}
 		})
 	}
 	r := newRoster()
 	r.ApplyUpdate(start, born(1, leaves, 1))
-	if r.Leaves(start, startOf(1)) {
+	if r.LeavingReported(start, startOf(1)) {
 		t.Error("it is news although the list said so")
 	}
-	if r.Leaves(start, startOf(2)) || r.Wanted(start, startOf(2)) {
+	if r.LeavingReported(start, startOf(2)) || r.AcceptsWork(start, startOf(2)) {
 		t.Error("a start that is not known is leaving, or wanted")
 	}
 }
@@ -132,9 +132,9 @@
 	r := newRoster()
 	r.ApplyUpdate(start, ready("a", 1))
 	r.ApplyUpdate(start, ready("b", 2))
-	r.Leaves(start, "b")
-	r.Leaves(start.Add(time.Second), "a")
-	r.Leaves(start.Add(2*time.Second), "b") // heard again from a box that it told
+	r.LeavingReported(start, "b")
+	r.LeavingReported(start.Add(time.Second), "a")
+	r.LeavingReported(start.Add(2*time.Second), "b") // heard again from a box that it told
 	for _, tc := range []struct {
 		at   time.Duration
 		want []domain.InstanceID
@@ -144,7 +144,7 @@
 		{3 * time.Second, []domain.InstanceID{"a"}},
 		{4 * time.Second, nil},
 	} {
-		if got := r.Leavers(start.Add(tc.at)); !slices.Equal(got, tc.want) {
+		if got := r.LeavingTargets(start.Add(tc.at)); !slices.Equal(got, tc.want) {
 			t.Errorf("after %v: %v, want %v", tc.at, got, tc.want)
 		}
 	}
--- a/node/adverts.go
+++ b/node/adverts.go
@@ -28,7 +28,7 @@
 	limits, apart := p.entry.limiting.reports(now, others), p.entry.limiting.apart(now)
 	limited := p.entry.fleet.knowsLimits()
 	var leavers []domain.InstanceID
-	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { leavers = r.Leavers(now) })
+	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { leavers = r.LeavingTargets(now) })
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := &mesh.Advert{
--- a/node/choosing.go
+++ b/node/choosing.go
@@ -135,7 +135,7 @@
 // again is when a caller comes back where no target takes requests; mu is held.
 func (f *fleet) again(now time.Time, q gateway.Query) time.Time {
 	in := time.Duration(0)
-	if rested := f.roster.RestsUntil(now, q.Service); !rested.IsZero() {
+	if rested := f.roster.EarliestRestEnd(now, q.Service); !rested.IsZero() {
 		in = rested.Sub(now)
 	}
 	return now.Add(admission.Reopens(in, q.Deadline.Sub(now), rand.Float64()))
@@ -147,7 +147,7 @@
 	defer f.mu.Unlock()
 	options := f.options(now, svc, nil)
 	if len(options) == 0 {
-		return f.roster.RestsUntil(now, svc)
+		return f.roster.EarliestRestEnd(now, svc)
 	}
 	if turn := f.turn(options); turn.After(now) {
 		return turn
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -132,7 +132,7 @@
 // leaves takes that the target reports that it is leaving, by the source.
 func (f *fleet) leaves(now time.Time, id domain.InstanceID, source string) {
 	news := false
-	f.with(func(r *membership.Roster, _ *routing.Balancer) { news = r.Leaves(now, id) })
+	f.with(func(r *membership.Roster, _ *routing.Balancer) { news = r.LeavingReported(now, id) })
 	if news {
 		f.left(id, source)
 	}
--- a/node/place.go
+++ b/node/place.go
@@ -33,7 +33,7 @@
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	id := p.target.ID()
-	if !p.fleet.roster.Wanted(now, id) {
+	if !p.fleet.roster.AcceptsWork(now, id) {
 		return false
 	}
 	return p.fleet.limits.Admits(now, id, p.permitted, p.taken)
@@ -46,7 +46,7 @@
 			b.Report(now, p.target.ID(), routing.Report{Running: l.Running, Waiting: l.Waiting})
 		}
 		if until := a.RestUntil(); !until.IsZero() {
-			r.Rests(p.target.ID(), until)
+			r.RestRequested(p.target.ID(), until)
 		}
 		if a.NoRoom(p.target.ID().Listed()) {
 			r.TurnedAway(now, p.target.ID())
