--- a/membership/failure_reports.go
+++ b/membership/failure_reports.go
@@ -51,9 +51,9 @@
 	return &FailureReports{self: self, against: map[domain.InstanceID]map[domain.BoxID]time.Time{}}
 }
 
-// Own takes that the target let this box down. It reports whether others should learn of it
+// AddOwn takes that the target let this box down. It reports whether others should learn of it
 // at once: it is the first time for so long.
-func (c *FailureReports) Own(now time.Time, id domain.InstanceID) bool {
+func (c *FailureReports) AddOwn(now time.Time, id domain.InstanceID) bool {
 	before, known := c.against[id][c.self]
 	c.add(FailureReport{Target: id, By: c.self, At: now})
 	return !known || now.Sub(before) > reportFor
@@ -77,11 +77,11 @@
 	}
 }
 
-// Served takes that the target served this box, which reports no more failures.
-func (c *FailureReports) Served(id domain.InstanceID) { delete(c.against[id], c.self) }
+// ClearOwn takes that the target served this box, which reports no more failures.
+func (c *FailureReports) ClearOwn(id domain.InstanceID) { delete(c.against[id], c.self) }
 
-// Against is how many boxes report failures of the target since the time.
-func (c *FailureReports) Against(now time.Time, id domain.InstanceID, since time.Time) int {
+// CountReporters is how many boxes report failures of the target since the time.
+func (c *FailureReports) CountReporters(now time.Time, id domain.InstanceID, since time.Time) int {
 	n := 0
 	for _, at := range c.against[id] {
 		if now.Sub(at) <= reportFor && at.After(since) {
--- a/membership/failure_reports_test.go
+++ b/membership/failure_reports_test.go
@@ -39,49 +39,49 @@
 		after    time.Duration
 		suspects int
 	}{
-		{"one box", func(r *membership.Roster) { r.LetDown(start, rankID(0)) }, 0, 0},
+		{"one box", func(r *membership.Roster) { r.ReportFailure(start, rankID(0)) }, 0, 0},
 		{"the same box many times", func(r *membership.Roster) {
 			for i := range 9 {
-				r.TakeFailureReport(start, by("b1", 0, at(time.Duration(i))))
+				r.ReceiveFailureReport(start, by("b1", 0, at(time.Duration(i))))
 			}
 		}, 0, 0},
 		{"three boxes", func(r *membership.Roster) {
-			r.LetDown(start, rankID(0))
-			r.TakeFailureReport(start, by("b1", 0, start))
-			r.TakeFailureReport(start, by("b2", 0, start))
+			r.ReportFailure(start, rankID(0))
+			r.ReceiveFailureReport(start, by("b1", 0, start))
+			r.ReceiveFailureReport(start, by("b2", 0, start))
 		}, 0, 1},
 		{"three boxes, of whom one reported long ago", func(r *membership.Roster) {
-			r.TakeFailureReport(start, by("b1", 0, at(-3*time.Second)))
-			r.LetDown(start, rankID(0))
-			r.TakeFailureReport(start, by("b2", 0, start))
+			r.ReceiveFailureReport(start, by("b1", 0, at(-3*time.Second)))
+			r.ReportFailure(start, rankID(0))
+			r.ReceiveFailureReport(start, by("b2", 0, start))
 		}, 0, 0},
 		{"this box was served since", func(r *membership.Roster) {
-			r.LetDown(start, rankID(0))
+			r.ReportFailure(start, rankID(0))
 			r.Succeeded(start, rankID(0))
-			r.TakeFailureReport(start, by("b1", 0, start))
-			r.TakeFailureReport(start, by("b2", 0, start))
+			r.ReceiveFailureReport(start, by("b1", 0, start))
+			r.ReceiveFailureReport(start, by("b2", 0, start))
 		}, 0, 0},
 		{"after the ejection", func(r *membership.Roster) {
 			for _, b := range []domain.BoxID{"b1", "b2", "b3"} {
-				r.TakeFailureReport(start, by(b, 0, start))
+				r.ReceiveFailureReport(start, by(b, 0, start))
 			}
 		}, 9 * time.Second, 0},
 		{"one that tries it again is enough", func(r *membership.Roster) {
 			for _, b := range []domain.BoxID{"b1", "b2", "b3"} {
-				r.TakeFailureReport(start, by(b, 0, start))
+				r.ReceiveFailureReport(start, by(b, 0, start))
 			}
-			r.TakeFailureReport(at(5*time.Second), by("b4", 0, at(5*time.Second)))
+			r.ReceiveFailureReport(at(5*time.Second), by("b4", 0, at(5*time.Second)))
 		}, 6 * time.Second, 1},
 		{"most targets are reported", func(r *membership.Roster) {
 			for _, b := range []domain.BoxID{"b1", "b2", "b3"} {
 				for i := range ranks {
-					r.TakeFailureReport(start, by(b, ranks-1-i, start))
+					r.ReceiveFailureReport(start, by(b, ranks-1-i, start))
 				}
 			}
 		}, 0, 0},
 		{"a target that is not listed", func(r *membership.Roster) {
 			for _, b := range []domain.BoxID{"b1", "b2", "b3"} {
-				r.TakeFailureReport(start, membership.FailureReport{Target: "nobody", By: b, At: start})
+				r.ReceiveFailureReport(start, membership.FailureReport{Target: "nobody", By: b, At: start})
 			}
 		}, 0, 0},
 	}
@@ -107,7 +107,7 @@
 	r := ranksOf("b0", ranks, 0)
 	for i := range ranks {
 		for b := range boxes {
-			r.TakeFailureReport(start, by(domain.BoxID(fmt.Sprintf("b%d", b+1)), i, start))
+			r.ReceiveFailureReport(start, by(domain.BoxID(fmt.Sprintf("b%d", b+1)), i, start))
 		}
 	}
 	if n := len(r.FailureReports(start)); n != most {
@@ -145,7 +145,7 @@
 			to := f.rnd.IntN(f.boxes)
 			for _, way := range [][2]int{{from, to}, {to, from}} {
 				for _, c := range rosters[way[0]].FailureReports(now) {
-					rosters[way[1]].TakeFailureReport(now, c)
+					rosters[way[1]].ReceiveFailureReport(now, c)
 				}
 			}
 		}
@@ -163,7 +163,7 @@
 		}
 		for _, w := range waiting[now] {
 			rosters[w[0]].Failed(now, rankID(w[1]))
-			if tell, _ := rosters[w[0]].LetDown(now, rankID(w[1])); tell && f.tells {
+			if tell, _ := rosters[w[0]].ReportFailure(now, rankID(w[1])); tell && f.tells {
 				exchange(now, w[0])
 			}
 		}
--- a/membership/reported.go
+++ b/membership/peer_ejection.go
@@ -6,21 +6,21 @@
 	"clovertrail.dev/core/domain"
 )
 
-// LetDown takes that the target had a request of this box and did not answer it as it
+// ReportFailure takes that the target had a request of this box and did not answer it as it
 // should, in a way that is its own fault. It reports whether other boxes should learn of it
 // at once, and whether the target is ejected now.
-func (r *Roster) LetDown(now time.Time, id domain.InstanceID) (tell, ejected bool) {
+func (r *Roster) ReportFailure(now time.Time, id domain.InstanceID) (tell, ejected bool) {
 	e, ok := r.of(id)
 	if !ok {
 		return false, false
 	}
-	first := r.failures.Own(now, id)
+	first := r.failures.AddOwn(now, id)
 	ejected = r.judge(now, e)
 	return first && !r.sharedTrouble(now, e.target.Service()), ejected
 }
 
-// TakeFailureReport takes another box's failure report, and reports whether its target is ejected now.
-func (r *Roster) TakeFailureReport(now time.Time, c FailureReport) bool {
+// ReceiveFailureReport takes another box's failure report, and reports whether its target is ejected now.
+func (r *Roster) ReceiveFailureReport(now time.Time, c FailureReport) bool {
 	e, ok := r.of(c.Target)
 	if !ok {
 		return false
@@ -39,7 +39,7 @@
 	if e.health.onProbation(now) {
 		enough = 1
 	}
-	if e.health.ejected(now) || r.failures.Against(now, e.target.ID(), e.health.ejectedTo) < enough || r.sharedTrouble(now, e.target.Service()) {
+	if e.health.ejected(now) || r.failures.CountReporters(now, e.target.ID(), e.health.ejectedTo) < enough || r.sharedTrouble(now, e.target.Service()) {
 		return false
 	}
 	e.health.ejectReported(now, r.policy)
@@ -55,7 +55,7 @@
 			continue
 		}
 		all++
-		if r.failures.Against(now, e.target.ID(), time.Time{}) > 0 {
+		if r.failures.CountReporters(now, e.target.ID(), time.Time{}) > 0 {
 			blamed++
 		}
 		if e.health.ejected(now) {
--- a/membership/roster.go
+++ b/membership/roster.go
@@ -296,7 +296,7 @@
 	all.add(failed)
 	e.health.add(failed)
 	if !failed {
-		r.failures.Served(id)
+		r.failures.ClearOwn(id)
 		e.health.succeeded(now)
 		return
 	}
--- a/node/adverts.go
+++ b/node/adverts.go
@@ -88,7 +88,7 @@
 	}
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		for _, c := range list {
-			if r.TakeFailureReport(now, membership.FailureReport{Target: c.Target, By: c.By, At: now.Add(-c.Ago)}) {
+			if r.ReceiveFailureReport(now, membership.FailureReport{Target: c.Target, By: c.By, At: now.Add(-c.Ago)}) {
 				p.entry.fleet.ejected(c.Target)
 			}
 		}
--- a/node/place.go
+++ b/node/place.go
@@ -69,7 +69,7 @@
 	if !b.Steps(now, p.option) {
 		return
 	}
-	tell, ejected := r.LetDown(now, p.target.ID())
+	tell, ejected := r.ReportFailure(now, p.target.ID())
 	if tell {
 		p.fleet.letDown()
 	}
