--- a/membership/halls.go
+++ b/membership/halls.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// CutOff reports that every data hall with targets but the own has fallen silent.
-func (r *Roster) CutOff(now time.Time, own domain.HallName) bool {
+// OtherHallsSilent reports that every data hall with targets but the own has fallen silent.
+func (r *Roster) OtherHallsSilent(now time.Time, own domain.HallName) bool {
 	others := 0
 	for name, v := range r.halls(now) {
 		if name == own {
--- a/membership/restored_test.go
+++ b/membership/restored_test.go
@@ -84,7 +84,7 @@
 				r.ApplyUpdate(start, n)
 			}
 			restored := start.Add(time.Minute)
-			r.StoreTroubled(restored)
+			r.StoreUnavailable(restored)
 			r.ApplyList(restored, store.PositionOf(2, 40), mapped(tc.copied, second))
 			for _, n := range mapped(tc.after, second) {
 				r.ApplyUpdate(restored.Add(time.Second), n)
--- a/membership/roster.go
+++ b/membership/roster.go
@@ -130,8 +130,8 @@
 // Newest is the position of the last change that is known.
 func (r *Roster) Newest() store.Position { return r.newest }
 
-// StoreTroubled records that the store is away, or was until now.
-func (r *Roster) StoreTroubled(now time.Time) { r.storeBack = now }
+// StoreUnavailable records that the store is away, or was until now.
+func (r *Roster) StoreUnavailable(now time.Time) { r.storeBack = now }
 
 // TargetUpdate is one change of the list: a target as it stands now, or none where its
 // entry is gone or names none.
@@ -218,8 +218,8 @@
 	return e, true
 }
 
-// Start is the start that stands under the listed id.
-func (r *Roster) Start(id domain.ListedID) (domain.InstanceID, bool) {
+// CurrentInstance is the start that stands under the listed id.
+func (r *Roster) CurrentInstance(id domain.ListedID) (domain.InstanceID, bool) {
 	e, ok := r.entries[id]
 	if !ok {
 		return "", false
@@ -305,9 +305,9 @@
 	}
 }
 
-// TurnedAway takes an attempt that the target turned away for want of room, without saying for
+// Rejected takes an attempt that the target turned away for want of room, without saying for
 // how long.
-func (r *Roster) TurnedAway(now time.Time, id domain.InstanceID) {
+func (r *Roster) Rejected(now time.Time, id domain.InstanceID) {
 	if e, ok := r.of(id); ok {
 		e.health.turnAway(now, r.policy)
 	}
@@ -320,9 +320,9 @@
 	}
 }
 
-// Missed takes another box's report that it could not reach the target at all since the
+// PeerUnreachable takes another box's report that it could not reach the target at all since the
 // target reported at the time. It counts unless the target has reported later.
-func (r *Roster) Missed(now time.Time, id domain.InstanceID, spoke time.Time) {
+func (r *Roster) PeerUnreachable(now time.Time, id domain.InstanceID, spoke time.Time) {
 	if e, ok := r.of(id); ok && !e.ownAt.After(spoke) {
 		e.health.unreach(now, r.policy)
 	}
--- a/membership/roster_test.go
+++ b/membership/roster_test.go
@@ -107,7 +107,7 @@
 	r := newRoster()
 	r.ApplyUpdate(start, ready("a", 1))
 	r.ApplyUpdate(start, leaving("b", 2))
-	r.StoreTroubled(start)
+	r.StoreUnavailable(start)
 	back := start.Add(time.Second)
 	r.ApplyUpdate(back, gone("a", 3))
 	r.ApplyUpdate(back, gone("b", 4))
@@ -129,7 +129,7 @@
 func TestAnEntryThatGoesWhileTheStoreIsWellMeansLeaving(t *testing.T) {
 	r := newRoster()
 	r.ApplyUpdate(start, ready("a", 1))
-	r.StoreTroubled(start)
+	r.StoreUnavailable(start)
 	later := start.Add(time.Minute)
 	r.ApplyUpdate(later, gone("a", 2))
 	if mayBeUsed(r, later, "a") {
@@ -367,7 +367,7 @@
 		if got := mayBeUsed(r, at(tc.at), "f3"); got != tc.usable {
 			t.Errorf("%s: f3 may be used: %v", tc.name, got)
 		}
-		if got := r.CutOff(at(tc.at), "near"); got != tc.cutOff {
+		if got := r.OtherHallsSilent(at(tc.at), "near"); got != tc.cutOff {
 			t.Errorf("%s: cut off: %v", tc.name, got)
 		}
 		if !mayBeUsed(r, at(tc.at), "n1") {
@@ -415,11 +415,11 @@
 		t.Error("older word is news")
 	}
 	now := start.Add(1100 * time.Millisecond)
-	r.Missed(now, "a", start)
+	r.PeerUnreachable(now, "a", start)
 	if !mayBeUsed(r, now, "a") {
 		t.Error("missed by another box before it spoke, and not used")
 	}
-	r.Missed(now, "a", start.Add(time.Second))
+	r.PeerUnreachable(now, "a", start.Add(time.Second))
 	if mayBeUsed(r, now, "a") {
 		t.Error("used although nothing came back from its box since it spoke")
 	}
--- a/membership/starts_test.go
+++ b/membership/starts_test.go
@@ -82,7 +82,7 @@
 		t.Errorf("the next start stands as %v", s)
 	}
 	r.Unreachable(start, startOf(1))
-	r.Missed(start, startOf(1), start)
+	r.PeerUnreachable(start, startOf(1), start)
 	r.Replaced(startOf(1))
 	if r.Reported(start, startOf(1), domain.Rank{}, 7, true) {
 		t.Error("word of the start before is taken")
@@ -90,7 +90,7 @@
 	if s := r.Ranked(start, "s"); len(s) != 1 || s[0].Standing != membership.Good {
 		t.Errorf("after late word of the start before it stands as %v", s)
 	}
-	if id, ok := r.Start("a"); !ok || id != startOf(2) {
+	if id, ok := r.CurrentInstance("a"); !ok || id != startOf(2) {
 		t.Errorf("under its listed id stands %v", id)
 	}
 	if _, known := r.Get(startOf(1)); known {
@@ -101,7 +101,7 @@
 func TestAnEntryThatNamesNoTargetIsNoLapse(t *testing.T) {
 	r := newRoster()
 	r.ApplyUpdate(start, ready("a", 1))
-	r.StoreTroubled(start)
+	r.StoreUnavailable(start)
 	r.ApplyUpdate(start, unusable())
 	if mayBeUsed(r, start, "a") {
 		t.Error("used as if its entry had lapsed with the store")
--- a/membership/target_requests_test.go
+++ b/membership/target_requests_test.go
@@ -28,7 +28,7 @@
 		{"it serves what was under way", func(r *membership.Roster) { r.Succeeded(start, "a") }, time.Second, membership.Resting},
 		{"the list changes", func(r *membership.Roster) { r.ApplyUpdate(start, ready("a", 2)) }, time.Second, membership.Resting},
 		{"its entry lapses", func(r *membership.Roster) {
-			r.StoreTroubled(start)
+			r.StoreUnavailable(start)
 			r.ApplyUpdate(start, gone("a", 2))
 		}, time.Second, membership.Resting},
 		{"it is out of reach too", func(r *membership.Roster) { r.Unreachable(start, "a") }, 500 * time.Millisecond, membership.Resting},
--- a/membership/turned_test.go
+++ b/membership/turned_test.go
@@ -25,15 +25,15 @@
 	}
 	now := start
 	for i, want := range []time.Duration{first, 2 * first, 4 * first, 8 * first, most, most} {
-		r.TurnedAway(now, "t-3")
-		r.TurnedAway(now.Add(time.Millisecond), "t-3")
+		r.Rejected(now, "t-3")
+		r.Rejected(now.Add(time.Millisecond), "t-3")
 		if got := suspectFor(now); got != want {
 			t.Errorf("time %d: %v, want %v", i, got, want)
 		}
 		now = now.Add(want)
 	}
 	r.Succeeded(now, "t-3")
-	r.TurnedAway(now, "t-3")
+	r.Rejected(now, "t-3")
 	if got := suspectFor(now); got != first {
 		t.Errorf("after it served: %v, want %v", got, first)
 	}
@@ -46,7 +46,7 @@
 	r := newRoster()
 	for i := range targets {
 		r.ApplyUpdate(start, ready(fmt.Sprintf("t-%d", i), 1))
-		r.TurnedAway(start, ready(fmt.Sprintf("t-%d", i), 1).ID)
+		r.Rejected(start, ready(fmt.Sprintf("t-%d", i), 1).ID)
 	}
 	good := 0
 	for _, s := range standings(r, start) {
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -109,7 +109,7 @@
 func (f *fleet) cutOff(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.CutOff(now, f.hall)
+	return f.roster.OtherHallsSilent(now, f.hall)
 }
 
 func optionOf(u membership.Ranked) routing.Option {
@@ -123,7 +123,7 @@
 // Blame implements gateway.Fleet.
 func (f *fleet) Blame(listed domain.ListedID) {
 	f.with(func(r *membership.Roster, _ *routing.Balancer) {
-		if id, ok := r.Start(listed); ok {
+		if id, ok := r.CurrentInstance(listed); ok {
 			r.Unreachable(clock.Now(), id)
 		}
 	})
--- a/node/following.go
+++ b/node/following.go
@@ -215,7 +215,7 @@
 		return at
 	}
 	f.lost = func() {
-		e.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.StoreTroubled(clock.Now()) })
+		e.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.StoreUnavailable(clock.Now()) })
 	}
 	return f
 }
--- a/node/place.go
+++ b/node/place.go
@@ -49,7 +49,7 @@
 			r.RestRequested(p.target.ID(), until)
 		}
 		if a.NoRoom(p.target.ID().Listed()) {
-			r.TurnedAway(now, p.target.ID())
+			r.Rejected(now, p.target.ID())
 		}
 	})
 	if a.Leaving {
--- a/node/surveying.go
+++ b/node/surveying.go
@@ -237,7 +237,7 @@
 				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Pace: float64(x.Pace)})
 			}
 			if x.Missing {
-				ros.Missed(now, x.ID, at)
+				ros.PeerUnreachable(now, x.ID, at)
 			}
 		}
 	})
