--- a/membership/health.go
+++ b/membership/health.go
@@ -53,7 +53,7 @@
 	if h.ejected(now) {
 		return
 	}
-	d := min(p.EjectFor<<min(h.ejections, maxEjections), p.EjectMost)
+	d := min(p.EjectFor<<min(h.ejections, maxEjections), p.EjectMax)
 	h.ejections++
 	h.ejectedTo = now.Add(d)
 	h.samples, h.failShare = 0, 0
@@ -67,7 +67,7 @@
 
 // ejectReported ejects a target that several boxes report failures of.
 func (h *health) ejectReported(now time.Time, p RosterPolicy) {
-	d := min(p.ReportedFor<<min(h.ejections, maxEjections), p.EjectMost)
+	d := min(p.PeerEjectFor<<min(h.ejections, maxEjections), p.EjectMax)
 	h.ejections++
 	h.ejectedTo = now.Add(d + time.Duration(p.Spread*float64(d)))
 	h.probationTo = h.ejectedTo.Add(probation)
@@ -82,7 +82,7 @@
 	if h.full(now) {
 		return // what was under way as the first was turned away reports nothing new
 	}
-	h.turnedTo = now.Add(min(p.TurnedFor<<min(h.turned, maxTurned), p.TurnedMost))
+	h.turnedTo = now.Add(min(p.RejectedFor<<min(h.turned, maxTurned), p.RejectedMax))
 	h.turned++
 }
 
@@ -93,7 +93,7 @@
 	if h.unreachable(now) {
 		return
 	}
-	d := min(p.EjectFor<<min(h.misses, maxEjections), p.MissMost)
+	d := min(p.EjectFor<<min(h.misses, maxEjections), p.UnreachableMax)
 	h.misses++
 	h.missedAt, h.missingTo = now, now.Add(d)
 }
--- a/membership/roster.go
+++ b/membership/roster.go
@@ -13,36 +13,36 @@
 	// Grace is how long a target whose entry vanished while the store was in trouble
 	// may still be used. It must end before the platform holds the use against us.
 	Grace time.Duration
-	// Trouble is how long after its return the store may still be missing entries of
+	// StoreRecovery is how long after its return the store may still be missing entries of
 	// targets that live.
-	Trouble time.Duration
+	StoreRecovery time.Duration
 	// EjectFor is the first ejection of a failing target; each further one doubles
-	// it, up to EjectMost.
-	EjectFor, EjectMost time.Duration
-	// MissMost bounds how long a target that could not be reached is not tried.
-	MissMost time.Duration
-	// TurnedFor is for how long a target that turned an attempt away for want of room, and
+	// it, up to EjectMax.
+	EjectFor, EjectMax time.Duration
+	// UnreachableMax bounds how long a target that could not be reached is not tried.
+	UnreachableMax time.Duration
+	// RejectedFor is for how long a target that turned an attempt away for want of room, and
 	// did not say for how long, is suspect; each further one in a row doubles it, up to
-	// TurnedMost.
-	TurnedFor, TurnedMost time.Duration
+	// RejectedMax.
+	RejectedFor, RejectedMax time.Duration
 	// FailShare is the share of failures, above that of the service as a whole, from
 	// which a target is ejected.
 	FailShare float64
-	// ReportedFor is the first ejection of a target that several boxes report failures of; it
+	// PeerEjectFor is the first ejection of a target that several boxes report failures of; it
 	// doubles as others do.
-	ReportedFor time.Duration
+	PeerEjectFor time.Duration
 	// Spread is by which share of it this box ejects a reported target for longer than
 	// others might, so that one of them tries it first and tells the rest; from 0 to 1.
 	Spread float64
-	// Floor is the share of a service's targets that ejections leave in use.
-	Floor float64
+	// MinInUse is the share of a service's targets that ejections leave in use.
+	MinInUse float64
 	// ReportFresh is for how long a target's own news of its group goes before the
 	// list's, which lags.
 	ReportFresh time.Duration
-	// MutedAfter is for how long a target that spoke for itself may be silent, while
+	// UnresponsiveAfter is for how long a target that spoke for itself may be silent, while
 	// others are not, before it is suspect: more than two questions of a box that shares
 	// its targets with dozens of others.
-	MutedAfter time.Duration
+	UnresponsiveAfter time.Duration
 	// StallAfter is how long a group with work may stand at one step before it is
 	// suspect: several times the longest step.
 	StallAfter time.Duration
@@ -59,17 +59,17 @@
 func DefaultRosterPolicy(grace time.Duration) RosterPolicy {
 	return RosterPolicy{
 		Grace:       grace * graceTenths / 10,
-		Trouble:     3 * time.Second,
+		StoreRecovery:     3 * time.Second,
 		EjectFor:    time.Second,
-		EjectMost:   8 * time.Second,
-		MissMost:    4 * time.Second,
-		TurnedFor:   250 * time.Millisecond, // a few requests of a usual target
-		TurnedMost:  4 * time.Second,
+		EjectMax:   8 * time.Second,
+		UnreachableMax:    4 * time.Second,
+		RejectedFor:   250 * time.Millisecond, // a few requests of a usual target
+		RejectedMax:  4 * time.Second,
 		FailShare:   0.25,
-		ReportedFor: 4 * time.Second,
-		Floor:       0.5,
+		PeerEjectFor: 4 * time.Second,
+		MinInUse:       0.5,
 		ReportFresh: time.Second,
-		MutedAfter:  1500 * time.Millisecond,
+		UnresponsiveAfter:  1500 * time.Millisecond,
 		StallAfter:  500 * time.Millisecond,
 		ForgetAfter: time.Minute,
 	}
@@ -239,10 +239,10 @@
 	if unusable || e.target.State() != domain.TargetReady {
 		return
 	}
-	troubled := !r.storeBack.IsZero() && now.Sub(r.storeBack) < r.policy.Trouble
+	troubled := !r.storeBack.IsZero() && now.Sub(r.storeBack) < r.policy.StoreRecovery
 	switch {
 	case lost:
-		e.grace = r.restoredAt.Add(r.policy.Trouble)
+		e.grace = r.restoredAt.Add(r.policy.StoreRecovery)
 	case troubled:
 		e.grace = now.Add(r.policy.Grace)
 	}
--- a/membership/standing.go
+++ b/membership/standing.go
@@ -103,7 +103,7 @@
 // muted reports whether the target used to report about itself and does no more, as on a box
 // that stands still: requests to it would be accepted and not answered.
 func (r *Roster) muted(now time.Time, e *entry) bool {
-	return !e.ownAt.IsZero() && now.Sub(e.ownAt) > r.policy.MutedAfter && r.heardAt.Sub(e.ownAt) > r.policy.MutedAfter
+	return !e.ownAt.IsZero() && now.Sub(e.ownAt) > r.policy.UnresponsiveAfter && r.heardAt.Sub(e.ownAt) > r.policy.UnresponsiveAfter
 }
 
 // restore lets enough targets that failed attempts count as good that ejections leave
@@ -119,7 +119,7 @@
 			known++
 		}
 	}
-	need := int(float64(known)*r.policy.Floor + 0.5)
+	need := int(float64(known)*r.policy.MinInUse + 0.5)
 	for i := range list {
 		if good < need && list[i].Standing == Suspect {
 			list[i].Standing = Good
