--- a/membership/boxes.go
+++ b/membership/boxes.go
@@ -21,14 +21,14 @@
 	Hall domain.HallName
 }
 
-// Level is how far a box knows what the store holds.
-type Level struct {
+// StoreProgress is how far a box knows what the store holds.
+type StoreProgress struct {
 	Config  catalog.Edition // of the configuration in force there
 	Targets store.Position  // of the last change of a target that it knows
 }
 
 // later has the later configuration and the later list of the two.
-func (l Level) later(other Level) Level {
+func (l StoreProgress) later(other StoreProgress) StoreProgress {
 	if other.Config.After(l.Config) {
 		l.Config = other.Config
 	}
@@ -49,7 +49,7 @@
 type peer struct {
 	contact  Contact
 	hall     domain.HallName // empty until it spoke for itself
-	level    Level
+	level    StoreProgress
 	leaving  bool
 	directAt time.Time // its own last report
 	heardAt  time.Time // the last news of it, from whomever
@@ -83,29 +83,29 @@
 }
 
 // Receive takes a box's own report.
-func (b *Boxes) Receive(now time.Time, c Contact, hall domain.HallName, l Level, leaving bool) {
+func (b *Boxes) Receive(now time.Time, c Contact, hall domain.HallName, l StoreProgress, leaving bool) {
 	p := b.peer(now, c)
 	if p == nil || c.Incarnation < p.contact.Incarnation {
 		return
 	}
 	if c.Incarnation > p.contact.Incarnation {
-		p.level, p.newAt, p.share = Level{}, now, Share{}
+		p.level, p.newAt, p.share = StoreProgress{}, now, Share{}
 	}
 	p.contact, p.hall, p.leaving = c, hall, leaving
 	p.level = p.level.later(l)
 	p.directAt, p.heardAt = now, now
 }
 
-// Remembers is the latest incarnation of the box that was learned of; 0 if none was.
-func (b *Boxes) Remembers(box domain.BoxID) domain.Incarnation {
+// LatestIncarnation is the latest incarnation of the box that was learned of; 0 if none was.
+func (b *Boxes) LatestIncarnation(box domain.BoxID) domain.Incarnation {
 	if p, ok := b.boxes[box]; ok {
 		return p.contact.Incarnation
 	}
 	return 0
 }
 
-// ReceiveOf takes another box's report that it received something from a box so long ago.
-func (b *Boxes) ReceiveOf(now time.Time, c Contact, ago time.Duration) {
+// ReceiveIndirect takes another box's report that it received something from a box so long ago.
+func (b *Boxes) ReceiveIndirect(now time.Time, c Contact, ago time.Duration) {
 	p := b.peer(now, c)
 	if p == nil || ago < 0 || c.Incarnation < p.contact.Incarnation {
 		return
@@ -134,8 +134,8 @@
 	return p
 }
 
-// Sharing is how many boxes share what is bounded for all, this one included.
-func (b *Boxes) Sharing(now time.Time) int {
+// BoundSharers is how many boxes share what is bounded for all, this one included.
+func (b *Boxes) BoundSharers(now time.Time) int {
 	n := 1
 	for _, p := range b.boxes {
 		if now.Sub(p.heardAt) < ShareFor {
@@ -145,9 +145,9 @@
 	return n
 }
 
-// InTouch is how many boxes, this one included, have lately spoken for themselves, and
+// Reachable is how many boxes, this one included, have lately spoken for themselves, and
 // how many of them come before this one in the order of their names.
-func (b *Boxes) InTouch(now time.Time) (boxes, place int) {
+func (b *Boxes) Reachable(now time.Time) (boxes, place int) {
 	boxes = 1
 	for id, p := range b.boxes {
 		if p.leaving || now.Sub(p.directAt) >= TouchFor {
@@ -161,9 +161,9 @@
 	return boxes, place
 }
 
-// Elsewhere reports whether boxes of other data halls are known, and when one of them
+// OtherHalls reports whether boxes of other data halls are known, and when one of them
 // last reported about itself.
-func (b *Boxes) Elsewhere(now time.Time, hall domain.HallName) (known bool, last time.Time) {
+func (b *Boxes) OtherHalls(now time.Time, hall domain.HallName) (known bool, last time.Time) {
 	for _, p := range b.boxes {
 		if p.hall == "" || p.hall == hall || now.Sub(p.directAt) > ShareFor {
 			continue
@@ -194,11 +194,11 @@
 	return list[:min(most, len(list))]
 }
 
-// Known are boxes that were lately in touch, with how long ago, for passing on: up to most of those
+// PeersToAdvertise are boxes that were lately in touch, with how long ago, for passing on: up to most of those
 // that are new, since others may not know how to reach them, and up to few of the rest,
 // drawn by chance, so that all are known to live. Others hear them from many boxes, and adverts
 // that named them all would be half of the bytes between halls.
-func (b *Boxes) Known(now time.Time, most, few int) map[Contact]time.Duration {
+func (b *Boxes) PeersToAdvertise(now time.Time, most, few int) map[Contact]time.Duration {
 	list := map[Contact]time.Duration{}
 	rest := 0
 	for _, c := range b.Sample(now, len(b.boxes)) {
@@ -219,9 +219,9 @@
 	return list
 }
 
-// Ask chooses a box that knows more than own, if this box should no longer wait for
+// ChoosePullPeer chooses a box that knows more than own, if this box should no longer wait for
 // the store. behind is since when it knows that it is behind.
-func (b *Boxes) Ask(now time.Time, own Level, behind time.Time) (Contact, bool) {
+func (b *Boxes) ChoosePullPeer(now time.Time, own StoreProgress, behind time.Time) (Contact, bool) {
 	if behind.IsZero() || now.Sub(behind) < AskAfter {
 		return Contact{}, false
 	}
@@ -242,7 +242,7 @@
 }
 
 // Behind reports whether any box knows more than own.
-func (b *Boxes) Behind(own Level) bool {
+func (b *Boxes) Behind(own StoreProgress) bool {
 	for _, p := range b.boxes {
 		if p.level.ahead(own) {
 			return true
@@ -251,14 +251,14 @@
 	return false
 }
 
-func (l Level) ahead(own Level) bool {
+func (l StoreProgress) ahead(own StoreProgress) bool {
 	return l.Config.After(own.Config) || l.Targets.After(own.Targets)
 }
 
-// In are the boxes of the data hall that were lately learned of and are not leaving, in an
+// InHall are the boxes of the data hall that were lately learned of and are not leaving, in an
 // order that chance changes. Boxes of other halls seldom hear each other directly, so
 // another's news of one counts here, for twice as long as a box's own.
-func (b *Boxes) In(now time.Time, hall domain.HallName) []Contact {
+func (b *Boxes) InHall(now time.Time, hall domain.HallName) []Contact {
 	var list []Contact
 	for _, c := range b.Sample(now, len(b.boxes)) {
 		if p := b.boxes[c.Box]; p.hall == hall && !p.leaving && now.Sub(p.heardAt) < 2*TouchFor {
--- a/membership/boxes_test.go
+++ b/membership/boxes_test.go
@@ -24,52 +24,52 @@
 
 func TestSharingCountsBoxesLongAfterTheyFellSilent(t *testing.T) {
 	b := newBoxes()
-	b.Receive(start, contact("a", 1), "near", membership.Level{}, false)
-	b.ReceiveOf(start, contact("b", 1), time.Second)
-	b.Receive(start, contact("self", 1), "near", membership.Level{}, false)
-	if n := b.Sharing(start.Add(10 * time.Second)); n != 3 {
+	b.Receive(start, contact("a", 1), "near", membership.StoreProgress{}, false)
+	b.ReceiveIndirect(start, contact("b", 1), time.Second)
+	b.Receive(start, contact("self", 1), "near", membership.StoreProgress{}, false)
+	if n := b.BoundSharers(start.Add(10 * time.Second)); n != 3 {
 		t.Errorf("%d share after 10 s, want 3", n)
 	}
-	if n := b.Sharing(start.Add(time.Minute)); n != 1 {
+	if n := b.BoundSharers(start.Add(time.Minute)); n != 1 {
 		t.Errorf("%d share after a minute, want 1", n)
 	}
-	if n, place := b.InTouch(start.Add(time.Second)); n != 2 || place != 1 {
+	if n, place := b.Reachable(start.Add(time.Second)); n != 2 || place != 1 {
 		t.Errorf("%d are in touch and this one is number %d; want 2, one being only heard of, and 1", n, place)
 	}
 }
 
 func TestAskingWaitsForTheStoreAndThenAsksWhoKnowsMore(t *testing.T) {
 	b := newBoxes()
-	own := membership.Level{Config: edition(5), Targets: pos(7)}
+	own := membership.StoreProgress{Config: edition(5), Targets: pos(7)}
 	b.Receive(start, contact("level", 1), "near", own, false)
 	if b.Behind(own) {
 		t.Error("behind a box that knows as much")
 	}
-	b.Receive(start, contact("ahead", 1), "near", membership.Level{Config: edition(5), Targets: pos(8)}, false)
+	b.Receive(start, contact("ahead", 1), "near", membership.StoreProgress{Config: edition(5), Targets: pos(8)}, false)
 	if !b.Behind(own) {
 		t.Error("not behind")
 	}
-	if _, ok := b.Ask(start, own, start); ok {
+	if _, ok := b.ChoosePullPeer(start, own, start); ok {
 		t.Error("asked at once")
 	}
 	due := start.Add(membership.AskAfter)
-	if c, ok := b.Ask(due, own, start); !ok || c.Box != "ahead" {
+	if c, ok := b.ChoosePullPeer(due, own, start); !ok || c.Box != "ahead" {
 		t.Errorf("asks %v, %v", c, ok)
 	}
-	if _, ok := b.Ask(due, own, start); ok {
+	if _, ok := b.ChoosePullPeer(due, own, start); ok {
 		t.Error("asked the same box twice at once")
 	}
 }
 
 func TestARestartedBoxIsNotTakenForWhatItKnewBefore(t *testing.T) {
 	b := newBoxes()
-	own := membership.Level{Config: edition(5)}
-	b.Receive(start, contact("a", 1), "near", membership.Level{Config: edition(9)}, false)
-	b.Receive(start, contact("a", 2), "near", membership.Level{}, false)
+	own := membership.StoreProgress{Config: edition(5)}
+	b.Receive(start, contact("a", 1), "near", membership.StoreProgress{Config: edition(9)}, false)
+	b.Receive(start, contact("a", 2), "near", membership.StoreProgress{}, false)
 	if b.Behind(own) {
 		t.Error("still ahead after it started again")
 	}
-	b.Receive(start, contact("a", 1), "near", membership.Level{Config: edition(9)}, false)
+	b.Receive(start, contact("a", 1), "near", membership.StoreProgress{Config: edition(9)}, false)
 	if b.Behind(own) {
 		t.Error("the word of its earlier start counts")
 	}
@@ -78,7 +78,7 @@
 func TestTellingReachesAllInTimeAndForgetsTheDead(t *testing.T) {
 	b := newBoxes()
 	for i := range 30 {
-		b.Receive(start, contact(fmt.Sprint(i), 1), "near", membership.Level{}, false)
+		b.Receive(start, contact(fmt.Sprint(i), 1), "near", membership.StoreProgress{}, false)
 	}
 	told := map[domain.BoxID]bool{}
 	for range 30 {
@@ -100,12 +100,12 @@
 
 func TestElsewhereLooksAtOtherHallsOnly(t *testing.T) {
 	b := newBoxes()
-	b.Receive(start, contact("a", 1), "near", membership.Level{}, false)
-	if known, _ := b.Elsewhere(start, "near"); known {
+	b.Receive(start, contact("a", 1), "near", membership.StoreProgress{}, false)
+	if known, _ := b.OtherHalls(start, "near"); known {
 		t.Error("a box of the own hall counts")
 	}
-	b.Receive(start, contact("b", 1), "far", membership.Level{}, false)
-	if known, last := b.Elsewhere(start, "near"); !known || !last.Equal(start) {
+	b.Receive(start, contact("b", 1), "far", membership.StoreProgress{}, false)
+	if known, last := b.OtherHalls(start, "near"); !known || !last.Equal(start) {
 		t.Errorf("got %v, %v", known, last)
 	}
 }
@@ -116,16 +116,16 @@
 	b := newBoxes()
 	later := start.Add(membership.NewFor)
 	for i := range 20 {
-		b.Receive(start, contact(fmt.Sprint("old", i), 1), "near", membership.Level{}, false)
+		b.Receive(start, contact(fmt.Sprint("old", i), 1), "near", membership.StoreProgress{}, false)
 	}
 	for i := range 20 {
-		b.Receive(later, contact(fmt.Sprint("old", i), 1), "near", membership.Level{}, false)
+		b.Receive(later, contact(fmt.Sprint("old", i), 1), "near", membership.StoreProgress{}, false)
 	}
-	b.Receive(later, contact("old0", 2), "near", membership.Level{}, false)
-	b.ReceiveOf(later, contact("heard of", 1), 0)
+	b.Receive(later, contact("old0", 2), "near", membership.StoreProgress{}, false)
+	b.ReceiveIndirect(later, contact("heard of", 1), 0)
 	passed := map[domain.BoxID]int{}
 	for range 60 {
-		list := b.Known(later, 16, 2)
+		list := b.PeersToAdvertise(later, 16, 2)
 		if len(list) != 4 {
 			t.Fatalf("%d are passed on, want the two that are new and two more", len(list))
 		}
@@ -147,12 +147,12 @@
 	teller, b := newBoxes(), newBoxes()
 	for i := range 40 {
 		hall := domain.HallName(fmt.Sprintf("hall-%d", i%2))
-		teller.Receive(start, contact(fmt.Sprintf("b%02d", i), 1), hall, membership.Level{}, false)
+		teller.Receive(start, contact(fmt.Sprintf("b%02d", i), 1), hall, membership.StoreProgress{}, false)
 	}
-	for c, ago := range teller.Known(start.Add(time.Second), 40, 2) {
-		b.ReceiveOf(start.Add(time.Second), c, ago)
+	for c, ago := range teller.PeersToAdvertise(start.Add(time.Second), 40, 2) {
+		b.ReceiveIndirect(start.Add(time.Second), c, ago)
 	}
-	if n := len(b.In(start.Add(time.Second), "hall-1")); n != 20 {
+	if n := len(b.InHall(start.Add(time.Second), "hall-1")); n != 20 {
 		t.Errorf("it knows %d of the 20 boxes of its hall", n)
 	}
 }
--- a/membership/issuers_test.go
+++ b/membership/issuers_test.go
@@ -32,7 +32,7 @@
 		b.Sample(now, 0)
 		for j := range h.boxes {
 			if c := boxName(j); i != j && c != silent {
-				b.Receive(now, membership.Contact{Box: c, Address: string(c)}, "h", membership.Level{}, c == leaving)
+				b.Receive(now, membership.Contact{Box: c, Address: string(c)}, "h", membership.StoreProgress{}, c == leaving)
 			}
 		}
 	}
@@ -84,7 +84,7 @@
 	fresh := membership.NewBoxes("new", rand.New(rand.NewPCG(1, 9)))
 	fresh.Sample(now, 0)
 	for i, b := range h.boxes {
-		fresh.Receive(now, membership.Contact{Box: boxName(i)}, "h", membership.Level{}, false)
+		fresh.Receive(now, membership.Contact{Box: boxName(i)}, "h", membership.StoreProgress{}, false)
 		fresh.Shares(boxName(i), membership.Share{Settled: b.Settled(now)})
 	}
 	if got := fresh.Issuer(now, "app", false).Box; got != want {
@@ -132,14 +132,14 @@
 		{"others are silent", func(*membership.Boxes) {}, 30 * time.Second, 1, 4},
 		{"others are silent for long", func(*membership.Boxes) {}, 2 * time.Minute, 1, 1},
 		{"one has left", func(b *membership.Boxes) {
-			b.Receive(start, membership.Contact{Box: "c"}, "h", membership.Level{}, true)
+			b.Receive(start, membership.Contact{Box: "c"}, "h", membership.StoreProgress{}, true)
 		}, 3 * time.Second, 4, 3},
 		{"others know more boxes", func(b *membership.Boxes) { b.Shares("c", membership.Share{Boxes: 9}) }, time.Second, 4, 9},
 		{"one that knew more is silent", func(b *membership.Boxes) { b.Shares("c", membership.Share{Boxes: 9}) }, 10 * time.Second, 1, 4},
 	} {
 		b := membership.NewBoxes("a", rand.New(rand.NewPCG(1, 1)))
 		for _, box := range []domain.BoxID{"b", "c", "d"} {
-			b.Receive(start, membership.Contact{Box: box}, "h", membership.Level{}, false)
+			b.Receive(start, membership.Contact{Box: box}, "h", membership.StoreProgress{}, false)
 		}
 		tc.change(b)
 		if heard, sharing := b.Part(start.Add(tc.after)); heard != tc.heard || sharing != tc.sharing {
--- a/membership/lifetime_test.go
+++ b/membership/lifetime_test.go
@@ -35,13 +35,13 @@
 // and the next one counts.
 func TestABoxThatStartedAgainIsHeard(t *testing.T) {
 	b := newBoxes()
-	b.Receive(start, contact("a", 7), "near", membership.Level{Config: edition(9)}, false)
+	b.Receive(start, contact("a", 7), "near", membership.StoreProgress{Config: edition(9)}, false)
 	l := membership.NewLifetime()
-	if !l.Remembered(b.Remembers("a")) {
+	if !l.Remembered(b.LatestIncarnation("a")) {
 		t.Fatal("it does not come after its past")
 	}
-	b.Receive(start, contact("a", l.Incarnation()), "near", membership.Level{Config: edition(3)}, false)
-	if b.Behind(membership.Level{Config: edition(5)}) {
+	b.Receive(start, contact("a", l.Incarnation()), "near", membership.StoreProgress{Config: edition(3)}, false)
+	if b.Behind(membership.StoreProgress{Config: edition(5)}) {
 		t.Error("what its former process knew is taken for what it knows")
 	}
 }
--- a/node/adverts.go
+++ b/node/adverts.go
@@ -43,7 +43,7 @@
 	if news {
 		return a
 	}
-	for c, ago := range p.boxes.Known(now, passOnMost, passOnFew) {
+	for c, ago := range p.boxes.PeersToAdvertise(now, passOnMost, passOnFew) {
 		a.Known = append(a.Known, contactOf(c, ago))
 	}
 	return a
@@ -96,9 +96,9 @@
 }
 
 // level is how far this box knows what the store holds.
-func (p *peering) level() membership.Level {
+func (p *peering) level() membership.StoreProgress {
 	_, edition := p.entry.view.document()
-	l := membership.Level{Config: edition}
+	l := membership.StoreProgress{Config: edition}
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { l.Targets = r.Newest() })
 	return l
 }
@@ -106,7 +106,7 @@
 // meet implements mesh.Meet.
 func (p *peering) meet(_ context.Context, a *mesh.Advert) (*mesh.Advert, error) {
 	p.mu.Lock()
-	before := p.boxes.Remembers(a.Self.Box)
+	before := p.boxes.LatestIncarnation(a.Self.Box)
 	p.mu.Unlock()
 	p.receive(a)
 	reply := p.advert(a.News, false)
@@ -141,10 +141,10 @@
 	p.entry.limiting.receive(now, a.Limits, "peer "+string(a.Self.Box))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.boxes.Receive(now, contactFrom(a.Self), a.Hall, membership.Level{Config: a.Config, Targets: a.Targets}, a.Leaving)
+	p.boxes.Receive(now, contactFrom(a.Self), a.Hall, membership.StoreProgress{Config: a.Config, Targets: a.Targets}, a.Leaving)
 	p.boxes.Shares(a.Self.Box, shareFrom(a.Share))
 	for _, c := range a.Known {
-		p.boxes.ReceiveOf(now, contactFrom(c), c.Ago)
+		p.boxes.ReceiveIndirect(now, contactFrom(c), c.Ago)
 	}
 	p.noteBehind(now, own)
 }
--- a/node/peering.go
+++ b/node/peering.go
@@ -79,7 +79,7 @@
 func (p *peering) inTouch() (boxes, place int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.boxes.InTouch(clock.Now())
+	return p.boxes.Reachable(clock.Now())
 }
 
 // issuer is the box that hands out the permits of the service; without a name if none is known.
@@ -103,14 +103,14 @@
 func (p *peering) in(hall domain.HallName) []membership.Contact {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.boxes.In(clock.Now(), hall)
+	return p.boxes.InHall(clock.Now(), hall)
 }
 
 // isolated reports whether this box has lost the boxes of all other data halls.
 func (p *peering) isolated(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known, last := p.boxes.Elsewhere(now, domain.HallName(p.entry.settings().Hall))
+	known, last := p.boxes.OtherHalls(now, domain.HallName(p.entry.settings().Hall))
 	return known && now.Sub(last) > membership.TouchFor
 }
 
@@ -175,7 +175,7 @@
 		p.seedAt = now
 		addresses = append(addresses, seeds...)
 	}
-	if n := p.boxes.Sharing(now); n != p.shared {
+	if n := p.boxes.BoundSharers(now); n != p.shared {
 		p.entry.common.Log.Info("boxes share bounds", "boxes", n, "before", p.shared)
 		p.shared = n
 		p.entry.budgets.setBoxes(n)
@@ -239,7 +239,7 @@
 }
 
 // noteBehind keeps since when this box is behind; mu is held.
-func (p *peering) noteBehind(now time.Time, own membership.Level) {
+func (p *peering) noteBehind(now time.Time, own membership.StoreProgress) {
 	switch behind := p.boxes.Behind(own); {
 	case !behind:
 		p.behind = time.Time{}
@@ -255,7 +255,7 @@
 	own := p.level()
 	p.mu.Lock()
 	p.noteBehind(now, own)
-	c, ok := p.boxes.Ask(now, own, p.behind)
+	c, ok := p.boxes.ChoosePullPeer(now, own, p.behind)
 	p.mu.Unlock()
 	if ok {
 		p.start("pull "+c.Address, func() { p.ask(ctx, c, own) })
@@ -263,7 +263,7 @@
 }
 
 // ask takes what the other box has that this one has not.
-func (p *peering) ask(ctx context.Context, c membership.Contact, own membership.Level) {
+func (p *peering) ask(ctx context.Context, c membership.Contact, own membership.StoreProgress) {
 	ctx, cancel := context.WithTimeout(ctx, meetWithin)
 	defer cancel()
 	q := &mesh.PullQuery{Config: own.Config, Targets: own.Targets}
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -118,7 +118,7 @@
 	for _, n := range f.nodes {
 		for _, x := range f.nodes {
 			if x != n && f.hear(n, x) {
-				n.boxes.Receive(at(now), membership.Contact{Box: x.id, Address: string(x.id)}, "hall", membership.Level{}, false)
+				n.boxes.Receive(at(now), membership.Contact{Box: x.id, Address: string(x.id)}, "hall", membership.StoreProgress{}, false)
 				n.boxes.Shares(x.id, shares[x.id])
 			}
 		}
