--- a/membership/boxes.go
+++ b/membership/boxes.go
@@ -60,19 +60,19 @@
 
 // Times of Boxes.
 const (
-	// ShareFor is how long after its last report a box still counts among those that
+	// BoundSharerTimeout is how long after its last report a box still counts among those that
 	// share a bound. It is long: a box that is cut off goes on spending its share.
-	ShareFor = 20 * time.Second
-	// TouchFor is how long after its own last report a box is in touch: a few rounds of
+	BoundSharerTimeout = 20 * time.Second
+	// ReachableFor is how long after its own last report a box is in touch: a few rounds of
 	// adverts.
-	TouchFor = 2 * time.Second
+	ReachableFor = 2 * time.Second
 	// NewFor is how long a box counts as new: several rounds of adverts.
 	NewFor = 4 * time.Second
-	// ForgetBox is how long a box that nobody hears is still tried.
-	ForgetBox = time.Minute
-	// AskAfter is how long a box that learns from a peer that it is behind waits for
+	// ForgetBoxAfter is how long a box that nobody hears is still tried.
+	ForgetBoxAfter = time.Minute
+	// PullDelay is how long a box that learns from a peer that it is behind waits for
 	// the store to tell it the same: a few of the store's usual answers.
-	AskAfter = 100 * time.Millisecond
+	PullDelay = 100 * time.Millisecond
 	// askAgain is the pause between two questions to the same peer.
 	askAgain = 200 * time.Millisecond
 )
@@ -138,7 +138,7 @@
 func (b *Boxes) BoundSharers(now time.Time) int {
 	n := 1
 	for _, p := range b.boxes {
-		if now.Sub(p.heardAt) < ShareFor {
+		if now.Sub(p.heardAt) < BoundSharerTimeout {
 			n++
 		}
 	}
@@ -150,7 +150,7 @@
 func (b *Boxes) Reachable(now time.Time) (boxes, place int) {
 	boxes = 1
 	for id, p := range b.boxes {
-		if p.leaving || now.Sub(p.directAt) >= TouchFor {
+		if p.leaving || now.Sub(p.directAt) >= ReachableFor {
 			continue
 		}
 		boxes++
@@ -165,7 +165,7 @@
 // last reported about itself.
 func (b *Boxes) OtherHalls(now time.Time, hall domain.HallName) (known bool, last time.Time) {
 	for _, p := range b.boxes {
-		if p.hall == "" || p.hall == hall || now.Sub(p.directAt) > ShareFor {
+		if p.hall == "" || p.hall == hall || now.Sub(p.directAt) > BoundSharerTimeout {
 			continue
 		}
 		known = true
@@ -183,7 +183,7 @@
 	}
 	list := make([]Contact, 0, len(b.boxes))
 	for id, p := range b.boxes {
-		if now.Sub(p.heardAt) > ForgetBox {
+		if now.Sub(p.heardAt) > ForgetBoxAfter {
 			delete(b.boxes, id)
 			continue
 		}
@@ -204,7 +204,7 @@
 	for _, c := range b.Sample(now, len(b.boxes)) {
 		p := b.boxes[c.Box]
 		ago := now.Sub(p.heardAt)
-		if ago >= ShareFor || len(list) >= most {
+		if ago >= BoundSharerTimeout || len(list) >= most {
 			continue
 		}
 		if now.Sub(p.newAt) >= NewFor {
@@ -222,7 +222,7 @@
 // ChoosePullPeer chooses a box that knows more than own, if this box should no longer wait for
 // the store. behind is since when it knows that it is behind.
 func (b *Boxes) ChoosePullPeer(now time.Time, own StoreProgress, behind time.Time) (Contact, bool) {
-	if behind.IsZero() || now.Sub(behind) < AskAfter {
+	if behind.IsZero() || now.Sub(behind) < PullDelay {
 		return Contact{}, false
 	}
 	var best *peer
@@ -261,7 +261,7 @@
 func (b *Boxes) InHall(now time.Time, hall domain.HallName) []Contact {
 	var list []Contact
 	for _, c := range b.Sample(now, len(b.boxes)) {
-		if p := b.boxes[c.Box]; p.hall == hall && !p.leaving && now.Sub(p.heardAt) < 2*TouchFor {
+		if p := b.boxes[c.Box]; p.hall == hall && !p.leaving && now.Sub(p.heardAt) < 2*ReachableFor {
 			list = append(list, c)
 		}
 	}
--- a/membership/boxes_test.go
+++ b/membership/boxes_test.go
@@ -52,7 +52,7 @@
 	if _, ok := b.ChoosePullPeer(start, own, start); ok {
 		t.Error("asked at once")
 	}
-	due := start.Add(membership.AskAfter)
+	due := start.Add(membership.PullDelay)
 	if c, ok := b.ChoosePullPeer(due, own, start); !ok || c.Box != "ahead" {
 		t.Errorf("asks %v, %v", c, ok)
 	}
@@ -93,7 +93,7 @@
 	if len(told) != 30 {
 		t.Errorf("%d of 30 told in 30 rounds of 4", len(told))
 	}
-	if list := b.Sample(start.Add(2*membership.ForgetBox), 4); len(list) != 0 {
+	if list := b.Sample(start.Add(2*membership.ForgetBoxAfter), 4); len(list) != 0 {
 		t.Errorf("still tells %v", list)
 	}
 }
--- a/membership/hubs.go
+++ b/membership/hubs.go
@@ -20,8 +20,8 @@
 	// hubsFrom is how many boxes of a hall must be in touch for it to have hubs: with
 	// fewer, a target can answer all of them often enough.
 	hubsFrom = 13
-	// HubsEach is how many hubs a hall has: two may be lost at once.
-	HubsEach = 3
+	// HubsPerHall is how many hubs a hall has: two may be lost at once.
+	HubsPerHall = 3
 )
 
 // Role is what a box does for the news of targets in its hall.
@@ -45,14 +45,14 @@
 	if len(others)+1 < hubsFrom {
 		return Standalone
 	}
-	if Place(self, others) < HubsEach {
+	if Position(self, others) < HubsPerHall {
 		return Hub
 	}
 	return Follower
 }
 
-// Place is how many of the others come before the box.
-func Place(self domain.BoxID, others []Contact) int {
+// Position is how many of the others come before the box.
+func Position(self domain.BoxID, others []Contact) int {
 	before := 0
 	for _, c := range others {
 		if c.Box < self {
@@ -70,5 +70,5 @@
 	}
 	sorted := slices.Clone(boxes)
 	slices.SortFunc(sorted, func(a, b Contact) int { return cmp.Compare(a.Box, b.Box) })
-	return sorted[:HubsEach]
+	return sorted[:HubsPerHall]
 }
--- a/membership/hubs_test.go
+++ b/membership/hubs_test.go
@@ -58,7 +58,7 @@
 }
 
 func TestHubsAreAskedOfAHallThatHasThem(t *testing.T) {
-	if got := membership.HubsOf(hallOf(30, -1)); len(got) != membership.HubsEach || got[0].Box != "b00" {
+	if got := membership.HubsOf(hallOf(30, -1)); len(got) != membership.HubsPerHall || got[0].Box != "b00" {
 		t.Errorf("of thirty: %v", got)
 	}
 	if got := membership.HubsOf(hallOf(5, -1)); len(got) != 5 {
--- a/membership/issuers.go
+++ b/membership/issuers.go
@@ -16,7 +16,7 @@
 const (
 	// aliveFor is how long after the last news of it, from whomever, a box may be an issuer: about
 	// as long as others go by their own parts when it has ended.
-	aliveFor = 2 * TouchFor
+	aliveFor = 2 * ReachableFor
 	// aliveEach is how much longer for each box that is known: each is learned of as much more seldom.
 	aliveEach = 50 * time.Millisecond
 	// settleFor is how long a box that has started is no issuer: a few rounds of adverts.
@@ -84,7 +84,7 @@
 func (b *Boxes) Counted(now time.Time) int {
 	n := 1
 	for _, p := range b.boxes {
-		if ago := now.Sub(p.heardAt); ago < ForgetBox && (!p.leaving || ago < TouchFor) {
+		if ago := now.Sub(p.heardAt); ago < ForgetBoxAfter && (!p.leaving || ago < ReachableFor) {
 			n++
 		}
 	}
--- a/membership/restored.go
+++ b/membership/restored.go
@@ -7,10 +7,10 @@
 	"clovertrail.dev/store"
 )
 
-// SettleFor is for how long after the store was restored its list may still have entries of
+// RestoreSettleFor is for how long after the store was restored its list may still have entries of
 // targets that left after the copy was taken: longer than the entry of a target that is gone
 // takes to lapse.
-const SettleFor = 5 * time.Second
+const RestoreSettleFor = 5 * time.Second
 
 // enter takes the position of a list, which may be the first of a later era.
 func (r *Roster) enter(now time.Time, at store.Position) {
@@ -38,7 +38,7 @@
 		return false
 	case e.target.State() == domain.TargetLeaving:
 		return true
-	case now.Sub(r.restoredAt) >= SettleFor:
+	case now.Sub(r.restoredAt) >= RestoreSettleFor:
 		return false
 	default:
 		return !e.goneAt.IsZero() || epochOf(*n.Target) <= epochOf(e.target)
--- a/node/following.go
+++ b/node/following.go
@@ -63,7 +63,7 @@
 		MostWait:   mostWait,
 		FirstPause: storePause,
 		MostPause:  min(storePauseMost, b.ConfigApply.Std()/pauseShare),
-		Settle:     membership.SettleFor + settleSlack,
+		Settle:     membership.RestoreSettleFor + settleSlack,
 		Gather:     b.Drain.Std() / gatherShare, // the rest is for telling targets' leaving on
 	}
 }
--- a/node/peering.go
+++ b/node/peering.go
@@ -111,7 +111,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known, last := p.boxes.OtherHalls(now, domain.HallName(p.entry.settings().Hall))
-	return known && now.Sub(last) > membership.TouchFor
+	return known && now.Sub(last) > membership.ReachableFor
 }
 
 // notify makes the next round come at once.
@@ -245,7 +245,7 @@
 		p.behind = time.Time{}
 	case p.behind.IsZero():
 		p.behind = now
-		time.AfterFunc(membership.AskAfter, p.notify)
+		time.AfterFunc(membership.PullDelay, p.notify)
 	}
 }
 
--- a/node/surveying.go
+++ b/node/surveying.go
@@ -81,7 +81,7 @@
 		return s.entry.peering.inTouch()
 	}
 	hall := max(slices.Index(halls, s.hall()), 0)
-	return membership.HubsEach * len(halls), hall*membership.HubsEach + at
+	return membership.HubsPerHall * len(halls), hall*membership.HubsPerHall + at
 }
 
 // hubFollows reports that a hub of the hall follows the store for this box.
@@ -98,7 +98,7 @@
 	role := membership.RoleOf(self, others)
 	s.mu.Lock()
 	before := s.role
-	s.role, s.place = role, membership.Place(self, others)
+	s.role, s.place = role, membership.Position(self, others)
 	s.outlook.SetRole(role)
 	s.mu.Unlock()
 	if role != before {
@@ -137,7 +137,7 @@
 	role, halls := s.role, len(s.halls)
 	s.mu.Unlock()
 	if role != membership.Standalone {
-		return everyAmong(membership.HubsEach * halls)
+		return everyAmong(membership.HubsPerHall * halls)
 	}
 	boxes, _ := s.entry.peering.inTouch()
 	return everyAmong(boxes)
--- a/node/watching.go
+++ b/node/watching.go
@@ -111,7 +111,7 @@
 		boxes, _ := w.entry.peering.inTouch()
 		return boxes
 	case w.surveying.is(membership.Hub):
-		return membership.HubsEach
+		return membership.HubsPerHall
 	default:
 		return w.entry.peering.near(hall)
 	}
