--- a/membership/boxes.go
+++ b/membership/boxes.go
@@ -55,7 +55,7 @@
 	heardAt  time.Time // the last news of it, from whomever
 	newAt    time.Time // it, or its present process, became known
 	askedAt  time.Time // it was last asked for news
-	share    Share
+	share    ShareReport
 }
 
 // Times of Boxes.
@@ -89,7 +89,7 @@
 		return
 	}
 	if c.Incarnation > p.contact.Incarnation {
-		p.level, p.newAt, p.share = StoreProgress{}, now, Share{}
+		p.level, p.newAt, p.share = StoreProgress{}, now, ShareReport{}
 	}
 	p.contact, p.hall, p.leaving = c, hall, leaving
 	p.level = p.level.later(l)
--- a/membership/issuers.go
+++ b/membership/issuers.go
@@ -23,18 +23,18 @@
 	settleFor = 2 * time.Second
 )
 
-// Share is what a box reports to others about the limits that all share.
-type Share struct {
+// ShareReport is what a box reports to others about the limits that all share.
+type ShareReport struct {
 	// Boxes are how many boxes share them, as it counts them.
 	Boxes int
-	// Apart reports that it goes by its own part of limits.
-	Apart bool
+	// UsesFallback reports that it goes by its own part of limits.
+	UsesFallback bool
 	// Settled reports that it has run long enough to be an issuer.
 	Settled bool
 }
 
-// Shares takes what the box reports about what all share.
-func (b *Boxes) Shares(box domain.BoxID, s Share) {
+// ReceiveShareReport takes what the box reports about what all share.
+func (b *Boxes) ReceiveShareReport(box domain.BoxID, s ShareReport) {
 	if p, ok := b.boxes[box]; ok {
 		p.share = s
 	}
@@ -78,10 +78,10 @@
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// Counted is how many boxes share limits, this one included, as far as it knows. Those that it lost
+// LimitSharers is how many boxes share limits, this one included, as far as it knows. Those that it lost
 // count until they are forgotten, unless they reported that they are leaving: they may be cut off, and
 // go on.
-func (b *Boxes) Counted(now time.Time) int {
+func (b *Boxes) LimitSharers(now time.Time) int {
 	n := 1
 	for _, p := range b.boxes {
 		if ago := now.Sub(p.heardAt); ago < ForgetBoxAfter && (!p.leaving || ago < ReachableFor) {
@@ -91,17 +91,17 @@
 	return n
 }
 
-// Part is how many boxes this one counts as an issuer: itself and those from which it receives reports and that
+// IssuerShare is how many boxes this one counts as an issuer: itself and those from which it receives reports and that
 // do not go by their own parts; and how many share limits. One that has just started takes the word
 // of others for that.
-func (b *Boxes) Part(now time.Time) (heard, sharing int) {
-	heard, sharing = 1, b.Counted(now)
+func (b *Boxes) IssuerShare(now time.Time) (heard, sharing int) {
+	heard, sharing = 1, b.LimitSharers(now)
 	for _, p := range b.boxes {
 		if !b.alive(now, p) {
 			continue
 		}
 		sharing = max(sharing, p.share.Boxes)
-		if !p.share.Apart {
+		if !p.share.UsesFallback {
 			heard++
 		}
 	}
--- a/membership/issuers_test.go
+++ b/membership/issuers_test.go
@@ -85,7 +85,7 @@
 	fresh.Sample(now, 0)
 	for i, b := range h.boxes {
 		fresh.Receive(now, membership.Contact{Box: boxName(i)}, "h", membership.StoreProgress{}, false)
-		fresh.Shares(boxName(i), membership.Share{Settled: b.Settled(now)})
+		fresh.ReceiveShareReport(boxName(i), membership.ShareReport{Settled: b.Settled(now)})
 	}
 	if got := fresh.Issuer(now, "app", false).Box; got != want {
 		t.Errorf("a box that has just started takes %q for the issuer, others %s", got, want)
@@ -128,21 +128,21 @@
 		heard, sharing int
 	}{
 		{"all are heard", func(*membership.Boxes) {}, time.Second, 4, 4},
-		{"one is apart", func(b *membership.Boxes) { b.Shares("c", membership.Share{Boxes: 4, Apart: true}) }, time.Second, 3, 4},
+		{"one is apart", func(b *membership.Boxes) { b.ReceiveShareReport("c", membership.ShareReport{Boxes: 4, UsesFallback: true}) }, time.Second, 3, 4},
 		{"others are silent", func(*membership.Boxes) {}, 30 * time.Second, 1, 4},
 		{"others are silent for long", func(*membership.Boxes) {}, 2 * time.Minute, 1, 1},
 		{"one has left", func(b *membership.Boxes) {
 			b.Receive(start, membership.Contact{Box: "c"}, "h", membership.StoreProgress{}, true)
 		}, 3 * time.Second, 4, 3},
-		{"others know more boxes", func(b *membership.Boxes) { b.Shares("c", membership.Share{Boxes: 9}) }, time.Second, 4, 9},
-		{"one that knew more is silent", func(b *membership.Boxes) { b.Shares("c", membership.Share{Boxes: 9}) }, 10 * time.Second, 1, 4},
+		{"others know more boxes", func(b *membership.Boxes) { b.ReceiveShareReport("c", membership.ShareReport{Boxes: 9}) }, time.Second, 4, 9},
+		{"one that knew more is silent", func(b *membership.Boxes) { b.ReceiveShareReport("c", membership.ShareReport{Boxes: 9}) }, 10 * time.Second, 1, 4},
 	} {
 		b := membership.NewBoxes("a", rand.New(rand.NewPCG(1, 1)))
 		for _, box := range []domain.BoxID{"b", "c", "d"} {
 			b.Receive(start, membership.Contact{Box: box}, "h", membership.StoreProgress{}, false)
 		}
 		tc.change(b)
-		if heard, sharing := b.Part(start.Add(tc.after)); heard != tc.heard || sharing != tc.sharing {
+		if heard, sharing := b.IssuerShare(start.Add(tc.after)); heard != tc.heard || sharing != tc.sharing {
 			t.Errorf("%s: %d of %d, want %d of %d", tc.name, heard, sharing, tc.heard, tc.sharing)
 		}
 	}
--- a/node/adverts.go
+++ b/node/adverts.go
@@ -51,7 +51,7 @@
 
 // share is how this box shares limits; mu is held.
 func (p *peering) share(now time.Time, apart bool) *mesh.ShareReport {
-	return &mesh.ShareReport{Boxes: p.boxes.Counted(now), Apart: apart, Settled: p.boxes.Settled(now)}
+	return &mesh.ShareReport{Boxes: p.boxes.LimitSharers(now), Apart: apart, Settled: p.boxes.Settled(now)}
 }
 
 func contactOf(c membership.Contact, ago time.Duration) mesh.Contact {
@@ -63,11 +63,11 @@
 }
 
 // shareFrom gives nothing for a box that knows no limits.
-func shareFrom(w *mesh.ShareReport) membership.Share {
+func shareFrom(w *mesh.ShareReport) membership.ShareReport {
 	if w == nil {
-		return membership.Share{}
+		return membership.ShareReport{}
 	}
-	return membership.Share{Boxes: w.Boxes, Apart: w.Apart, Settled: w.Settled}
+	return membership.ShareReport{Boxes: w.Boxes, UsesFallback: w.Apart, Settled: w.Settled}
 }
 
 // failureReports are what boxes report against targets, to be passed on.
@@ -142,7 +142,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.boxes.Receive(now, contactFrom(a.Self), a.Hall, membership.StoreProgress{Config: a.Config, Targets: a.Targets}, a.Leaving)
-	p.boxes.Shares(a.Self.Box, shareFrom(a.Share))
+	p.boxes.ReceiveShareReport(a.Self.Box, shareFrom(a.Share))
 	for _, c := range a.Known {
 		p.boxes.ReceiveIndirect(now, contactFrom(c), c.Ago)
 	}
--- a/node/peering.go
+++ b/node/peering.go
@@ -93,7 +93,7 @@
 func (p *peering) part(now time.Time) (heard, sharing int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.boxes.Part(now)
+	return p.boxes.IssuerShare(now)
 }
 
 // near is how many boxes of the hall, this one included, are in touch.
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -108,18 +108,18 @@
 
 // round lets all boxes that hear each other say so.
 func (f *fleet) round(now time.Duration) {
-	shares := map[domain.BoxID]membership.Share{}
+	shares := map[domain.BoxID]membership.ShareReport{}
 	for _, n := range f.nodes {
 		if now%(5*time.Second) == 0 {
 			n.boxes.Sample(at(now), 0) // forgets those that were lost
 		}
-		shares[n.id] = membership.Share{Boxes: n.boxes.Counted(at(now)), Apart: n.allocator.Apart(at(now)), Settled: n.boxes.Settled(at(now))}
+		shares[n.id] = membership.ShareReport{Boxes: n.boxes.LimitSharers(at(now)), UsesFallback: n.allocator.Apart(at(now)), Settled: n.boxes.Settled(at(now))}
 	}
 	for _, n := range f.nodes {
 		for _, x := range f.nodes {
 			if x != n && f.hear(n, x) {
 				n.boxes.Receive(at(now), membership.Contact{Box: x.id, Address: string(x.id)}, "hall", membership.StoreProgress{}, false)
-				n.boxes.Shares(x.id, shares[x.id])
+				n.boxes.ReceiveShareReport(x.id, shares[x.id])
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 func (f *fleet) permit(n *node, d time.Duration) bool {
 	now := at(d)
 	wants := []ratelimit.Want{{Target: limited, Rate: ratelimit.Rate(call.Limited{PerSecond: f.limit})}}
-	_, sharing := n.boxes.Part(now)
+	_, sharing := n.boxes.IssuerShare(now)
 	if f.way == saving {
 		return f.save(n, d, sharing)
 	}
@@ -185,7 +185,7 @@
 }
 
 func (f *fleet) issue(x *node, now time.Time, wants []ratelimit.Want) ratelimit.Grant {
-	heard, sharing := x.boxes.Part(now)
+	heard, sharing := x.boxes.IssuerShare(now)
 	return x.allocator.Issue(now, service, wants, ratelimit.Part(heard, sharing))
 }
 
