--- a/membership/lifetime.go
+++ b/membership/incarnation.go
@@ -2,24 +2,24 @@
 
 import "clovertrail.dev/core/domain"
 
-// Lifetime numbers the process of a box after those before it. A process begins with the
+// IncarnationTracker numbers the process of a box after those before it. A process begins with the
 // lowest incarnation, and comes after the latest that another box remembers of its box as
 // soon as one answers. No clock is asked: a box whose clock was set back while it was away
 // would be older than itself to all others, and its reports ignored for as long.
-type Lifetime struct {
+type IncarnationTracker struct {
 	incarnation domain.Incarnation
 	answered    bool // another box knows this process
 }
 
-// NewLifetime returns that of a process that starts.
-func NewLifetime() *Lifetime { return &Lifetime{incarnation: 1} }
+// NewIncarnationTracker returns that of a process that starts.
+func NewIncarnationTracker() *IncarnationTracker { return &IncarnationTracker{incarnation: 1} }
 
 // Incarnation is that of the process.
-func (l *Lifetime) Incarnation() domain.Incarnation { return l.incarnation }
+func (l *IncarnationTracker) Incarnation() domain.Incarnation { return l.incarnation }
 
-// Remembered takes the incarnation under which another box knew this box before it was
+// Observe takes the incarnation under which another box knew this box before it was
 // asked; 0 if it did not. The result reports that the process has another one from now on.
-func (l *Lifetime) Remembered(n domain.Incarnation) bool {
+func (l *IncarnationTracker) Observe(n domain.Incarnation) bool {
 	later := n > l.incarnation || n == l.incarnation && !l.answered
 	l.answered = true
 	if later {
--- a/membership/lifetime_test.go
+++ b/membership/incarnation_test.go
@@ -20,9 +20,9 @@
 		{"another build numbered it by the time of day", []domain.Incarnation{1_800_000_000_000_000_000}, 1_800_000_000_000_000_001},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := membership.NewLifetime()
+			l := membership.NewIncarnationTracker()
 			for _, n := range tc.remembered {
-				l.Remembered(n)
+				l.Observe(n)
 			}
 			if l.Incarnation() != tc.want {
 				t.Errorf("got %d, want %d", l.Incarnation(), tc.want)
@@ -36,8 +36,8 @@
 func TestABoxThatStartedAgainIsHeard(t *testing.T) {
 	b := newBoxes()
 	b.Receive(start, contact("a", 7), "near", membership.StoreProgress{Config: edition(9)}, false)
-	l := membership.NewLifetime()
-	if !l.Remembered(b.LatestIncarnation("a")) {
+	l := membership.NewIncarnationTracker()
+	if !l.Observe(b.LatestIncarnation("a")) {
 		t.Fatal("it does not come after its past")
 	}
 	b.Receive(start, contact("a", l.Incarnation()), "near", membership.StoreProgress{Config: edition(3)}, false)
--- a/node/peering.go
+++ b/node/peering.go
@@ -51,7 +51,7 @@
 	mu      sync.Mutex
 	boxes   *membership.Boxes
 	calling map[string]bool
-	life    *membership.Lifetime
+	life    *membership.IncarnationTracker
 	behind  time.Time
 	seedAt  time.Time
 	allAt   time.Time // of the last round in which all works in quarantine were told
@@ -61,7 +61,7 @@
 
 func newPeering(e *Entry) *peering {
 	s := e.settings()
-	life := membership.NewLifetime()
+	life := membership.NewIncarnationTracker()
 	return &peering{
 		entry: e, life: life,
 		self: membership.Contact{
@@ -232,7 +232,7 @@
 func (p *peering) outlive(remembered domain.Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.life.Remembered(remembered) {
+	if p.life.Observe(remembered) {
 		p.self.Incarnation = p.life.Incarnation()
 		p.notify()
 	}
