--- a/membership/issuers_test.go
+++ b/membership/issuers_test.go
@@ -128,7 +128,9 @@
 		heard, sharing int
 	}{
 		{"all are heard", func(*membership.Boxes) {}, time.Second, 4, 4},
-		{"one is apart", func(b *membership.Boxes) { b.ReceiveShareReport("c", membership.ShareReport{Boxes: 4, UsesFallback: true}) }, time.Second, 3, 4},
+		{"one is apart", func(b *membership.Boxes) {
+			b.ReceiveShareReport("c", membership.ShareReport{Boxes: 4, UsesFallback: true})
+		}, time.Second, 3, 4},
 		{"others are silent", func(*membership.Boxes) {}, 30 * time.Second, 1, 4},
 		{"others are silent for long", func(*membership.Boxes) {}, 2 * time.Minute, 1, 1},
 		{"one has left", func(b *membership.Boxes) {
--- a/membership/restored_test.go
+++ b/membership/restored_test.go
@@ -27,8 +27,8 @@
 		copied []membership.TargetUpdate // the first list after the restore
 		after  []membership.TargetUpdate // changes after that list
 		listed []membership.TargetUpdate // a list long after the restore
-		soon   bool              // used two seconds after the restore
-		late   bool              // used after the later list
+		soon   bool                      // used two seconds after the restore
+		late   bool                      // used after the later list
 	}{
 		{
 			name: "nothing changed", before: []membership.TargetUpdate{ready("a", 30)},
--- a/membership/roster.go
+++ b/membership/roster.go
@@ -58,20 +58,20 @@
 // DefaultRosterPolicy fits a platform that gives grace to drain.
 func DefaultRosterPolicy(grace time.Duration) RosterPolicy {
 	return RosterPolicy{
-		Grace:       grace * graceTenths / 10,
+		Grace:             grace * graceTenths / 10,
 		StoreRecovery:     3 * time.Second,
-		EjectFor:    time.Second,
-		EjectMax:   8 * time.Second,
+		EjectFor:          time.Second,
+		EjectMax:          8 * time.Second,
 		UnreachableMax:    4 * time.Second,
-		RejectedFor:   250 * time.Millisecond, // a few requests of a usual target
-		RejectedMax:  4 * time.Second,
-		FailShare:   0.25,
-		PeerEjectFor: 4 * time.Second,
-		MinInUse:       0.5,
-		ReportFresh: time.Second,
-		UnresponsiveAfter:  1500 * time.Millisecond,
-		StallAfter:  500 * time.Millisecond,
-		ForgetAfter: time.Minute,
+		RejectedFor:       250 * time.Millisecond, // a few requests of a usual target
+		RejectedMax:       4 * time.Second,
+		FailShare:         0.25,
+		PeerEjectFor:      4 * time.Second,
+		MinInUse:          0.5,
+		ReportFresh:       time.Second,
+		UnresponsiveAfter: 1500 * time.Millisecond,
+		StallAfter:        500 * time.Millisecond,
+		ForgetAfter:       time.Minute,
 	}
 }
 
--- a/membership/target_requests_test.go
+++ b/membership/target_requests_test.go
@@ -88,7 +88,7 @@
 	for _, tc := range []struct {
 		name string
 		news []membership.TargetUpdate // after the first start reported that it is leaving
-		id   domain.InstanceID // whether it may be used
+		id   domain.InstanceID         // whether it may be used
 		want bool
 	}{
 		{"nothing else", nil, startOf(1), false},
