--- a/membership/boxes_test.go
+++ b/membership/boxes_test.go
@@ -22,83 +22,83 @@
 	return membership.Contact{Box: domain.BoxID(name), Address: name + ":1", Incarnation: inc}
 }
 
-func TestSharingCountsBoxesLongAfterTheyFellSilent(t *testing.T) {
+func TestBoundSharersIncludesSilentBoxesUntilTimeout(t *testing.T) {
 	b := newBoxes()
 	b.Receive(start, contact("a", 1), "near", membership.StoreProgress{}, false)
 	b.ReceiveIndirect(start, contact("b", 1), time.Second)
-	b.Receive(start, contact("self", 1), "near", membership.StoreProgress{}, false)
+	b.Receive(start, contact("self", 1), "near", membership.StoreProgress{}, false) // ignored
 	if n := b.BoundSharers(start.Add(10 * time.Second)); n != 3 {
-		t.Errorf("%d share after 10 s, want 3", n)
+		t.Errorf("%d boxes share a bound after 10 s, want 3", n)
 	}
 	if n := b.BoundSharers(start.Add(time.Minute)); n != 1 {
-		t.Errorf("%d share after a minute, want 1", n)
+		t.Errorf("%d boxes share a bound after a minute, want 1", n)
 	}
-	if n, place := b.Reachable(start.Add(time.Second)); n != 2 || place != 1 {
-		t.Errorf("%d are in touch and this one is number %d; want 2, one being only heard of, and 1", n, place)
+	if n, position := b.Reachable(start.Add(time.Second)); n != 2 || position != 1 {
+		t.Errorf("%d boxes are reachable, own position %d; want 2, as one was only reported by another, and 1", n, position)
 	}
 }
 
-func TestAskingWaitsForTheStoreAndThenAsksWhoKnowsMore(t *testing.T) {
+func TestChoosePullPeerWaitsForStoreThenChoosesNewerPeer(t *testing.T) {
 	b := newBoxes()
 	own := membership.StoreProgress{Config: edition(5), Targets: pos(7)}
-	b.Receive(start, contact("level", 1), "near", own, false)
+	b.Receive(start, contact("equal", 1), "near", own, false)
 	if b.Behind(own) {
-		t.Error("behind a box that knows as much")
+		t.Error("behind a box with the same progress")
 	}
-	b.Receive(start, contact("ahead", 1), "near", membership.StoreProgress{Config: edition(5), Targets: pos(8)}, false)
+	b.Receive(start, contact("newer", 1), "near", membership.StoreProgress{Config: edition(5), Targets: pos(8)}, false)
 	if !b.Behind(own) {
-		t.Error("not behind")
+		t.Error("not behind a box with a later target list")
 	}
 	if _, ok := b.ChoosePullPeer(start, own, start); ok {
-		t.Error("asked at once")
+		t.Error("chose a peer before the delay has passed")
 	}
 	due := start.Add(membership.PullDelay)
-	if c, ok := b.ChoosePullPeer(due, own, start); !ok || c.Box != "ahead" {
-		t.Errorf("asks %v, %v", c, ok)
+	if c, ok := b.ChoosePullPeer(due, own, start); !ok || c.Box != "newer" {
+		t.Errorf("chose %v, %v after the delay, want newer", c, ok)
 	}
 	if _, ok := b.ChoosePullPeer(due, own, start); ok {
-		t.Error("asked the same box twice at once")
+		t.Error("chose the same box twice without a pause")
 	}
 }
 
-func TestARestartedBoxIsNotTakenForWhatItKnewBefore(t *testing.T) {
+func TestReceiveDropsProgressOfEarlierIncarnation(t *testing.T) {
 	b := newBoxes()
 	own := membership.StoreProgress{Config: edition(5)}
 	b.Receive(start, contact("a", 1), "near", membership.StoreProgress{Config: edition(9)}, false)
 	b.Receive(start, contact("a", 2), "near", membership.StoreProgress{}, false)
 	if b.Behind(own) {
-		t.Error("still ahead after it started again")
+		t.Error("still behind the box after it restarted without progress")
 	}
 	b.Receive(start, contact("a", 1), "near", membership.StoreProgress{Config: edition(9)}, false)
 	if b.Behind(own) {
-		t.Error("the word of its earlier start counts")
+		t.Error("a late report of the earlier incarnation counts")
 	}
 }
 
-func TestTellingReachesAllInTimeAndForgetsTheDead(t *testing.T) {
+func TestSampleCoversAllBoxesAndForgetsSilentOnes(t *testing.T) {
 	b := newBoxes()
 	for i := range 30 {
 		b.Receive(start, contact(fmt.Sprint(i), 1), "near", membership.StoreProgress{}, false)
 	}
-	told := map[domain.BoxID]bool{}
+	sampled := map[domain.BoxID]bool{}
 	for range 30 {
 		list := b.Sample(start, 4)
 		if len(list) != 4 {
-			t.Fatalf("told %d", len(list))
+			t.Fatalf("sample of %d boxes, want 4", len(list))
 		}
 		for _, c := range list {
-			told[c.Box] = true
+			sampled[c.Box] = true
 		}
 	}
-	if len(told) != 30 {
-		t.Errorf("%d of 30 told in 30 rounds of 4", len(told))
+	if len(sampled) != 30 {
+		t.Errorf("%d of 30 boxes sampled in 30 rounds of 4", len(sampled))
 	}
 	if list := b.Sample(start.Add(2*membership.ForgetBoxAfter), 4); len(list) != 0 {
-		t.Errorf("still tells %v", list)
+		t.Errorf("still samples %v after they were forgotten", list)
 	}
 }
 
-func TestElsewhereLooksAtOtherHallsOnly(t *testing.T) {
+func TestOtherHallsIgnoresOwnHall(t *testing.T) {
 	b := newBoxes()
 	b.Receive(start, contact("a", 1), "near", membership.StoreProgress{}, false)
 	if known, _ := b.OtherHalls(start, "near"); known {
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestKnownPassesOnNewBoxesAndAFewOthers: adverts stay short however many boxes there
-// are, and yet all boxes are passed on within a few of them.
-func TestKnownPassesOnNewBoxesAndAFewOthers(t *testing.T) {
+// TestPeersToAdvertiseListsNewBoxesAndAFewOthers: adverts stay short however many boxes there
+// are, and yet every box is listed within a few of them.
+func TestPeersToAdvertiseListsNewBoxesAndAFewOthers(t *testing.T) {
 	b := newBoxes()
 	later := start.Add(membership.NewFor)
 	for i := range 20 {
@@ -122,42 +122,42 @@
 		b.Receive(later, contact(fmt.Sprint("old", i), 1), "near", membership.StoreProgress{}, false)
 	}
 	b.Receive(later, contact("old0", 2), "near", membership.StoreProgress{}, false)
-	b.ReceiveIndirect(later, contact("heard of", 1), 0)
-	passed := map[domain.BoxID]int{}
+	b.ReceiveIndirect(later, contact("indirect", 1), 0)
+	listed := map[domain.BoxID]int{}
 	for range 60 {
 		list := b.PeersToAdvertise(later, 16, 2)
 		if len(list) != 4 {
-			t.Fatalf("%d are passed on, want the two that are new and two more", len(list))
+			t.Fatalf("%d boxes are listed, want the two new ones and two others", len(list))
 		}
 		for c := range list {
-			passed[c.Box]++
+			listed[c.Box]++
 		}
 	}
-	if passed["old0"] != 60 || passed["heard of"] != 60 {
-		t.Errorf("new boxes were passed on %d and %d times of 60", passed["old0"], passed["heard of"])
+	if listed["old0"] != 60 || listed["indirect"] != 60 {
+		t.Errorf("new boxes were listed %d and %d times of 60", listed["old0"], listed["indirect"])
 	}
-	if len(passed) != 21 {
-		t.Errorf("%d of 21 boxes were passed on", len(passed))
+	if len(listed) != 21 {
+		t.Errorf("%d of 21 boxes were listed", len(listed))
 	}
 }
 
-// TestABoxThatStartsLearnsOfItsHallFromOthers: most of a hundred boxes have not spoken to it
-// themselves.
-func TestABoxThatStartsLearnsOfItsHallFromOthers(t *testing.T) {
-	teller, b := newBoxes(), newBoxes()
+// TestStartingBoxReceivesItsHallFromPeers guards against a box that starts among many and
+// does not find the boxes of its own hall, because few of them have contacted it directly.
+func TestStartingBoxReceivesItsHallFromPeers(t *testing.T) {
+	reporter, b := newBoxes(), newBoxes()
 	for i := range 40 {
 		hall := domain.HallName(fmt.Sprintf("hall-%d", i%2))
-		teller.Receive(start, contact(fmt.Sprintf("b%02d", i), 1), hall, membership.StoreProgress{}, false)
+		reporter.Receive(start, contact(fmt.Sprintf("b%02d", i), 1), hall, membership.StoreProgress{}, false)
 	}
-	for c, ago := range teller.PeersToAdvertise(start.Add(time.Second), 40, 2) {
+	for c, ago := range reporter.PeersToAdvertise(start.Add(time.Second), 40, 2) {
 		b.ReceiveIndirect(start.Add(time.Second), c, ago)
 	}
 	if n := len(b.InHall(start.Add(time.Second), "hall-1")); n != 20 {
-		t.Errorf("it knows %d of the 20 boxes of its hall", n)
+		t.Errorf("it has %d of the 20 boxes of its hall", n)
 	}
 }
 
-// edition is that of the version, as the store has it at the revision of the same number.
+// edition returns the edition of the version, stored at the revision of the same number.
 func edition(v catalog.Version) catalog.Edition {
 	return catalog.Edition{Version: v, At: pos(store.Revision(v))}
 }
--- a/membership/issuers.go
+++ b/membership/issuers.go
@@ -8,102 +8,108 @@
 	"clovertrail.dev/core/domain"
 )
 
-// Boxes agree without messages on which of them is the issuer of a service's permits (package
-// ratelimit): the one that comes first in an order that is drawn for the service, so that the
-// issuers of all services are spread over the boxes (rendezvous hashing). Whom they do not hear
-// any more, who leaves, and who has just started and does not know the others yet, is none.
+// Boxes agree without messages on the issuer of a service's permits (package ratelimit). Each box
+// orders the boxes by a hash of the service and the box (rendezvous hashing) and takes the first
+// one, which spreads the issuers of all services over the boxes. A box is no candidate while it
+// is leaving, once its messages are no longer received, and while it has just started and does
+// not have the other boxes in its table yet.
 
 const (
-	// aliveFor is how long after the last news of it, from whomever, a box may be an issuer: about
-	// as long as others go by their own parts when it has ended.
-	aliveFor = 2 * ReachableFor
-	// aliveEach is how much longer for each box that is known: each is learned of as much more seldom.
-	aliveEach = 50 * time.Millisecond
-	// settleFor is how long a box that has started is no issuer: a few rounds of adverts.
-	settleFor = 2 * time.Second
+	// issuerTimeout is how long after the last message received from it, directly or through
+	// others, a box may be an issuer: about as long as others use their fallback shares when it
+	// has ended.
+	issuerTimeout = 2 * ReachableFor
+	// issuerTimeoutPerBox raises the timeout for each box in the table: the more boxes, the more
+	// seldom each of them is reported.
+	issuerTimeoutPerBox = 50 * time.Millisecond
+	// issuerSettleFor is how long a box that has started is no issuer: a few rounds of adverts.
+	issuerSettleFor = 2 * time.Second
 )
 
-// ShareReport is what a box reports to others about the limits that all share.
+// ShareReport is a box's report about the limits that all boxes share.
 type ShareReport struct {
-	// Boxes are how many boxes share them, as it counts them.
+	// Boxes is the number of boxes that share limits, as counted by the reporting box.
 	Boxes int
-	// UsesFallback reports that it goes by its own part of limits.
+	// UsesFallback reports that the box applies its fallback share of limits.
 	UsesFallback bool
-	// Settled reports that it has run long enough to be an issuer.
+	// Settled reports that the box has run long enough to be an issuer.
 	Settled bool
 }
 
-// ReceiveShareReport takes what the box reports about what all share.
+// ReceiveShareReport records what the box reports about the limits that all share.
 func (b *Boxes) ReceiveShareReport(box domain.BoxID, s ShareReport) {
 	if p, ok := b.boxes[box]; ok {
 		p.share = s
 	}
 }
 
-// Issuer is the box that hands out permits for the service: this one, or another with how it is
-// reached; without a name if none is known. A box that is leaving is none itself.
+// Issuer returns the box that issues permits for the service: this one, or another with its
+// address; an empty contact if there is none. leaving states that this box is leaving, and so is
+// no candidate.
 func (b *Boxes) Issuer(now time.Time, svc domain.ServiceName, leaving bool) Contact {
 	var first Contact
 	var best uint64
 	consider := func(c Contact) {
-		if at := drawn(c.Box, svc); first.Box == "" || at > best {
-			first, best = c, at
+		if score := rendezvousScore(c.Box, svc); first.Box == "" || score > best {
+			first, best = c, score
 		}
 	}
 	if !leaving && b.Settled(now) {
 		consider(Contact{Box: b.self})
 	}
 	for _, p := range b.boxes {
-		settled := p.share.Settled || now.Sub(p.newAt) >= settleFor
-		if !p.leaving && settled && b.alive(now, p) {
+		settled := p.share.Settled || now.Sub(p.knownSince) >= issuerSettleFor
+		if !p.leaving && settled && b.recentlySeen(now, p) {
 			consider(p.contact)
 		}
 	}
 	return first
 }
 
-// alive reports that the box was lately learned of.
-func (b *Boxes) alive(now time.Time, p *peer) bool {
-	return now.Sub(p.heardAt) < max(aliveFor, time.Duration(len(b.boxes))*aliveEach)
+// recentlySeen reports whether a message from the peer was received recently enough for it to be
+// an issuer.
+func (b *Boxes) recentlySeen(now time.Time, p *peer) bool {
+	return now.Sub(p.lastSeenAt) < max(issuerTimeout, time.Duration(len(b.boxes))*issuerTimeoutPerBox)
 }
 
 // Settled reports whether this box has run long enough to be an issuer.
 func (b *Boxes) Settled(now time.Time) bool {
-	return !b.since.IsZero() && now.Sub(b.since) >= settleFor
+	return !b.firstRoundAt.IsZero() && now.Sub(b.firstRoundAt) >= issuerSettleFor
 }
 
-// drawn is the place of the box in the order for the service.
-func drawn(box domain.BoxID, svc domain.ServiceName) uint64 {
+// rendezvousScore is the weight of the box for the service; the highest wins.
+func rendezvousScore(box domain.BoxID, svc domain.ServiceName) uint64 {
 	sum := sha256.Sum256([]byte(string(svc) + "\x00" + string(box)))
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// LimitSharers is how many boxes share limits, this one included, as far as it knows. Those that it lost
-// count until they are forgotten, unless they reported that they are leaving: they may be cut off, and
-// go on.
+// LimitSharers returns the number of boxes that share limits, this one included, as far as this
+// box can tell. A box whose messages are no longer received counts until it is forgotten, unless
+// it reported that it is leaving: it may be isolated and go on sending requests.
 func (b *Boxes) LimitSharers(now time.Time) int {
 	n := 1
 	for _, p := range b.boxes {
-		if ago := now.Sub(p.heardAt); ago < ForgetBoxAfter && (!p.leaving || ago < ReachableFor) {
+		if ago := now.Sub(p.lastSeenAt); ago < ForgetBoxAfter && (!p.leaving || ago < ReachableFor) {
 			n++
 		}
 	}
 	return n
 }
 
-// IssuerShare is how many boxes this one counts as an issuer: itself and those from which it receives reports and that
-// do not go by their own parts; and how many share limits. One that has just started takes the word
-// of others for that.
-func (b *Boxes) IssuerShare(now time.Time) (heard, sharing int) {
-	heard, sharing = 1, b.LimitSharers(now)
+// IssuerShare returns the number of boxes for which this one issues permits, and the number of
+// boxes that share limits. The first are this box and the recently seen boxes that do not use
+// their fallback shares. A box that has just started uses the highest number of sharing boxes
+// that others report.
+func (b *Boxes) IssuerShare(now time.Time) (served, sharing int) {
+	served, sharing = 1, b.LimitSharers(now)
 	for _, p := range b.boxes {
-		if !b.alive(now, p) {
+		if !b.recentlySeen(now, p) {
 			continue
 		}
 		sharing = max(sharing, p.share.Boxes)
 		if !p.share.UsesFallback {
-			heard++
+			served++
 		}
 	}
-	return heard, sharing
+	return served, sharing
 }
--- a/membership/issuers_test.go
+++ b/membership/issuers_test.go
@@ -10,7 +10,7 @@
 	"clovertrail.dev/membership"
 )
 
-// hall are boxes that hear each other.
+// hall holds the tables of boxes that receive each other's reports.
 type hall struct {
 	t     *testing.T
 	boxes []*membership.Boxes
@@ -26,8 +26,8 @@
 	return h
 }
 
-// meet lets all boxes but one that is silent hear each other; one is leaving.
-func (h *hall) meet(now time.Time, silent, leaving domain.BoxID) {
+// exchange delivers the reports of all boxes but the silent one to each other; one is leaving.
+func (h *hall) exchange(now time.Time, silent, leaving domain.BoxID) {
 	for i, b := range h.boxes {
 		b.Sample(now, 0)
 		for j := range h.boxes {
@@ -38,48 +38,48 @@
 	}
 }
 
-// issuer is whom all boxes but one take for the issuer.
-func (h *hall) issuer(now time.Time, svc domain.ServiceName, but domain.BoxID) domain.BoxID {
+// issuer returns the issuer on which all boxes except one agree.
+func (h *hall) issuer(now time.Time, svc domain.ServiceName, except domain.BoxID) domain.BoxID {
 	var first domain.BoxID
 	for i, b := range h.boxes {
-		if boxName(i) == but {
+		if boxName(i) == except {
 			continue
 		}
 		got := b.Issuer(now, svc, false).Box
 		if first != "" && got != first {
-			h.t.Errorf("%s: %s takes %s for the issuer, others %s", svc, boxName(i), got, first)
+			h.t.Errorf("service %s: the issuer is %[3]s according to %[2]s, and %[4]s according to others", svc, boxName(i), got, first)
 		}
 		first = got
 	}
 	return first
 }
 
-// TestBoxesAgreeOnTheIssuer: all that hear each other find the same one, and the services' issuers
-// are spread.
+// TestBoxesAgreeOnTheIssuer: all boxes that receive each other's reports choose the same issuer,
+// and the issuers of the services are spread over the boxes.
 func TestBoxesAgreeOnTheIssuer(t *testing.T) {
 	const boxes, services = 7, 40
 	h, now := newHall(t, boxes), time.Unix(1000, 0)
-	h.meet(now, "", "")
+	h.exchange(now, "", "")
 	if got := h.issuer(now.Add(time.Second), "app", ""); got != "" {
-		t.Errorf("%s is the issuer a second after all have started", got)
+		t.Errorf("%s is the issuer a second after all boxes have started, want none", got)
 	}
 	now = now.Add(3 * time.Second)
-	h.meet(now, "", "")
+	h.exchange(now, "", "")
 	seen := map[domain.BoxID]bool{}
 	for i := range services {
 		seen[h.issuer(now, domain.ServiceName(fmt.Sprint("svc-", i)), "")] = true
 	}
 	if len(seen) < boxes-1 {
-		t.Errorf("%d services have %d issuers", services, len(seen))
+		t.Errorf("%d services have only %d issuers", services, len(seen))
 	}
 }
 
-// TestABoxThatStartsFindsTheIssuerAtOnce: others have run for long, and tell it so.
-func TestABoxThatStartsFindsTheIssuerAtOnce(t *testing.T) {
+// TestStartingBoxFindsIssuerAtOnce: the others report that they have run long enough.
+func TestStartingBoxFindsIssuerAtOnce(t *testing.T) {
 	h, now := newHall(t, 7), time.Unix(1000, 0)
-	h.meet(now, "", "")
+	h.exchange(now, "", "")
 	now = now.Add(time.Minute)
-	h.meet(now, "", "")
+	h.exchange(now, "", "")
 	want := h.issuer(now, "app", "")
 	fresh := membership.NewBoxes("new", rand.New(rand.NewPCG(1, 9)))
 	fresh.Sample(now, 0)
@@ -88,64 +88,65 @@
 		fresh.ReceiveShareReport(boxName(i), membership.ShareReport{Settled: b.Settled(now)})
 	}
 	if got := fresh.Issuer(now, "app", false).Box; got != want {
-		t.Errorf("a box that has just started takes %q for the issuer, others %s", got, want)
+		t.Errorf("the issuer is %q according to a box that has just started, %s according to others", got, want)
 	}
 }
 
-// TestWhoIsNoIssuer: who leaves, and who is not heard any more.
-func TestWhoIsNoIssuer(t *testing.T) {
+// TestLeavingAndSilentBoxesAreNoIssuers covers a box that is leaving, and one whose reports are
+// no longer received.
+func TestLeavingAndSilentBoxesAreNoIssuers(t *testing.T) {
 	h, now := newHall(t, 7), time.Unix(1000, 0)
-	h.meet(now, "", "")
+	h.exchange(now, "", "")
 	now = now.Add(3 * time.Second)
-	h.meet(now, "", "")
+	h.exchange(now, "", "")
 	first := h.issuer(now, "app", "")
 	now = now.Add(time.Second)
-	h.meet(now, "", first)
+	h.exchange(now, "", first)
 	second := h.issuer(now, "app", first)
 	if second == first {
-		t.Errorf("%s is leaving, and is the issuer", first)
+		t.Errorf("%s is the issuer although it is leaving", first)
 	}
 	now = now.Add(5 * time.Second)
-	h.meet(now, second, "")
+	h.exchange(now, second, "")
 	if got := h.issuer(now, "app", second); got != first {
-		t.Errorf("%s is the issuer, where %s is silent and %s is back", got, second, first)
+		t.Errorf("%s is the issuer, while %s is silent and %s is back", got, second, first)
 	}
 	for i, b := range h.boxes {
 		if boxName(i) == first && b.Issuer(now, "app", true).Box == first {
-			t.Error("a box that leaves is the issuer by its own word")
+			t.Error("a leaving box chooses itself as the issuer")
 		}
 	}
 }
 
-// TestForHowManyBoxesAnIssuerSpeaks: those that it hears and that are not apart, of all that may
-// still be sending.
-func TestForHowManyBoxesAnIssuerSpeaks(t *testing.T) {
+// TestIssuerShareCountsBoxesWithoutFallback: an issuer serves the boxes that it receives reports
+// from and that do not use their fallback shares, out of all that may still be sending.
+func TestIssuerShareCountsBoxesWithoutFallback(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, tc := range []struct {
-		name           string
-		change         func(*membership.Boxes)
-		after          time.Duration
-		heard, sharing int
+		name            string
+		change          func(*membership.Boxes)
+		after           time.Duration
+		served, sharing int
 	}{
-		{"all are heard", func(*membership.Boxes) {}, time.Second, 4, 4},
-		{"one is apart", func(b *membership.Boxes) {
+		{"all boxes report", func(*membership.Boxes) {}, time.Second, 4, 4},
+		{"one box uses its fallback share", func(b *membership.Boxes) {
 			b.ReceiveShareReport("c", membership.ShareReport{Boxes: 4, UsesFallback: true})
 		}, time.Second, 3, 4},
-		{"others are silent", func(*membership.Boxes) {}, 30 * time.Second, 1, 4},
-		{"others are silent for long", func(*membership.Boxes) {}, 2 * time.Minute, 1, 1},
-		{"one has left", func(b *membership.Boxes) {
+		{"the others are silent", func(*membership.Boxes) {}, 30 * time.Second, 1, 4},
+		{"the others are silent for long", func(*membership.Boxes) {}, 2 * time.Minute, 1, 1},
+		{"one box has left", func(b *membership.Boxes) {
 			b.Receive(start, membership.Contact{Box: "c"}, "h", membership.StoreProgress{}, true)
 		}, 3 * time.Second, 4, 3},
-		{"others know more boxes", func(b *membership.Boxes) { b.ReceiveShareReport("c", membership.ShareReport{Boxes: 9}) }, time.Second, 4, 9},
-		{"one that knew more is silent", func(b *membership.Boxes) { b.ReceiveShareReport("c", membership.ShareReport{Boxes: 9}) }, 10 * time.Second, 1, 4},
+		{"another box counts more boxes", func(b *membership.Boxes) { b.ReceiveShareReport("c", membership.ShareReport{Boxes: 9}) }, time.Second, 4, 9},
+		{"the box that counted more is silent", func(b *membership.Boxes) { b.ReceiveShareReport("c", membership.ShareReport{Boxes: 9}) }, 10 * time.Second, 1, 4},
 	} {
 		b := membership.NewBoxes("a", rand.New(rand.NewPCG(1, 1)))
 		for _, box := range []domain.BoxID{"b", "c", "d"} {
 			b.Receive(start, membership.Contact{Box: box}, "h", membership.StoreProgress{}, false)
 		}
 		tc.change(b)
-		if heard, sharing := b.IssuerShare(start.Add(tc.after)); heard != tc.heard || sharing != tc.sharing {
-			t.Errorf("%s: %d of %d, want %d of %d", tc.name, heard, sharing, tc.heard, tc.sharing)
+		if served, sharing := b.IssuerShare(start.Add(tc.after)); served != tc.served || sharing != tc.sharing {
+			t.Errorf("%s: serves %d of %d boxes, want %d of %d", tc.name, served, sharing, tc.served, tc.sharing)
 		}
 	}
 }
