--- a/membership/failure_reports.go
+++ b/membership/failure_reports.go
@@ -8,20 +8,21 @@
 	"clovertrail.dev/core/domain"
 )
 
-// FailureReports are which boxes a target has lately let down, as boxes notify each other.
+// FailureReports is the table of the recent failures of targets, as boxes report them to each
+// other.
 //
-// Where dozens of boxes share dozens of targets, none of them sends enough to one target
-// to tell from its own requests that this one fails: each meets it once in many seconds. Together
-// they meet it several times a second, and a rank that answers nobody is out of use soon after the
-// first who waited for it in vain.
+// Where dozens of boxes share dozens of targets, no box sends enough requests to one target to
+// detect its failure alone: each box meets the target once in many seconds. All boxes together
+// meet it several times a second, and a rank that answers no requests is out of use soon after
+// the first box has waited for it in vain.
 //
 // It is not safe for concurrent use.
 type FailureReports struct {
-	self    domain.BoxID
-	against map[domain.InstanceID]map[domain.BoxID]time.Time
+	self     domain.BoxID
+	byTarget map[domain.InstanceID]map[domain.BoxID]time.Time
 }
 
-// FailureReport is that a target let a box down.
+// FailureReport states that a request of the box By failed at the target.
 type FailureReport struct {
 	Target domain.InstanceID
 	By     domain.BoxID
@@ -29,37 +30,38 @@
 }
 
 const (
-	// reportFor is how long a failure report counts: a target that fails every request
-	// meets several boxes in that time where it gets a few requests a second.
-	reportFor = 2 * time.Second
-	// reportersNeeded are how many boxes must report failures of a target to eject it: two fall into
-	// reportFor by chance where some requests fail everywhere.
+	// failureReportTTL is how long a failure report counts: a target that fails every request, and
+	// gets a few requests a second, meets several boxes in that time.
+	failureReportTTL = 2 * time.Second
+	// reportersNeeded is the number of boxes that must report failures of a target to eject it.
+	// Two reports coincide within failureReportTTL by chance where some requests fail everywhere.
 	reportersNeeded = 3
-	// tellEach is how many failure reports of one target are passed on: more say nothing new.
-	tellEach = reportersNeeded
-	// tellMost is how many failure reports one message has, the latest: as many as say all of an
-	// eighth of a hundred targets, in a kilobyte.
-	tellMost = 40
-	// reportedMost is the share of a service's targets that may be reported for any
-	// to be ejected. Where more are, the trouble is one that they share, as when their
-	// group stands still.
-	reportedMost = 1.0 / 3
+	// maxReportsPerTarget is the number of failure reports of one target that are sent to other
+	// boxes: more would have no effect there.
+	maxReportsPerTarget = reportersNeeded
+	// maxReportsPerMessage is the number of failure reports in one message, the latest ones: enough
+	// for an eighth of a hundred targets, in a kilobyte.
+	maxReportsPerMessage = 40
+	// maxReportedShare is the share of a service's targets up to which reported targets are
+	// ejected. If more are reported, the targets have a common fault, for example that their group
+	// is stalled.
+	maxReportedShare = 1.0 / 3
 )
 
-// NewFailureReports returns those of a box that nobody let down.
+// NewFailureReports returns the empty table of the box self.
 func NewFailureReports(self domain.BoxID) *FailureReports {
-	return &FailureReports{self: self, against: map[domain.InstanceID]map[domain.BoxID]time.Time{}}
+	return &FailureReports{self: self, byTarget: map[domain.InstanceID]map[domain.BoxID]time.Time{}}
 }
 
-// AddOwn takes that the target let this box down. It reports whether others should learn of it
-// at once: it is the first time for so long.
+// AddOwn records that a request of this box failed at the target. It returns true if other boxes
+// should be notified at once: this box had no report of the target that still counts.
 func (c *FailureReports) AddOwn(now time.Time, id domain.InstanceID) bool {
-	before, known := c.against[id][c.self]
+	before, known := c.byTarget[id][c.self]
 	c.add(FailureReport{Target: id, By: c.self, At: now})
-	return !known || now.Sub(before) > reportFor
+	return !known || now.Sub(before) > failureReportTTL
 }
 
-// Receive takes another box's failure report, made at the time.
+// Receive records another box's failure report.
 func (c *FailureReports) Receive(x FailureReport) {
 	if x.By != c.self {
 		c.add(x)
@@ -67,52 +69,54 @@
 }
 
 func (c *FailureReports) add(x FailureReport) {
-	by, ok := c.against[x.Target]
+	byBox, ok := c.byTarget[x.Target]
 	if !ok {
-		by = map[domain.BoxID]time.Time{}
-		c.against[x.Target] = by
+		byBox = map[domain.BoxID]time.Time{}
+		c.byTarget[x.Target] = byBox
 	}
-	if x.At.After(by[x.By]) {
-		by[x.By] = x.At
+	if x.At.After(byBox[x.By]) {
+		byBox[x.By] = x.At
 	}
 }
 
-// ClearOwn takes that the target served this box, which reports no more failures.
-func (c *FailureReports) ClearOwn(id domain.InstanceID) { delete(c.against[id], c.self) }
+// ClearOwn deletes this box's own report of the target, after the target has served a request.
+func (c *FailureReports) ClearOwn(id domain.InstanceID) { delete(c.byTarget[id], c.self) }
 
-// CountReporters is how many boxes report failures of the target since the time.
+// CountReporters returns the number of boxes with a failure report of the target that still counts
+// and was made after since.
 func (c *FailureReports) CountReporters(now time.Time, id domain.InstanceID, since time.Time) int {
 	n := 0
-	for _, at := range c.against[id] {
-		if now.Sub(at) <= reportFor && at.After(since) {
+	for _, at := range c.byTarget[id] {
+		if now.Sub(at) <= failureReportTTL && at.After(since) {
 			n++
 		}
 	}
 	return n
 }
 
-// Latest are the failure reports that count, for other boxes: the latest of each target.
+// Latest returns the failure reports to send to other boxes, the latest first. It deletes those
+// that no longer count.
 func (c *FailureReports) Latest(now time.Time) []FailureReport {
 	var list []FailureReport
-	for id, by := range c.against {
-		var of []FailureReport
-		for box, at := range by {
-			if now.Sub(at) > reportFor {
-				delete(by, box)
+	for id, byBox := range c.byTarget {
+		var reports []FailureReport
+		for box, at := range byBox {
+			if now.Sub(at) > failureReportTTL {
+				delete(byBox, box)
 				continue
 			}
-			of = append(of, FailureReport{Target: id, By: box, At: at})
+			reports = append(reports, FailureReport{Target: id, By: box, At: at})
 		}
-		if len(by) == 0 {
-			delete(c.against, id)
+		if len(byBox) == 0 {
+			delete(c.byTarget, id)
 		}
-		slices.SortFunc(of, func(x, y FailureReport) int {
+		slices.SortFunc(reports, func(x, y FailureReport) int {
 			return cmp.Or(y.At.Compare(x.At), cmp.Compare(x.By, y.By))
 		})
-		list = append(list, of[:min(tellEach, len(of))]...)
+		list = append(list, reports[:min(maxReportsPerTarget, len(reports))]...)
 	}
 	slices.SortFunc(list, func(x, y FailureReport) int {
 		return cmp.Or(y.At.Compare(x.At), cmp.Compare(x.Target, y.Target), cmp.Compare(x.By, y.By))
 	})
-	return list[:min(tellMost, len(list))]
+	return list[:min(maxReportsPerMessage, len(list))]
 }
--- a/membership/groups.go
+++ b/membership/groups.go
@@ -6,64 +6,66 @@
 	"clovertrail.dev/core/domain"
 )
 
-// progress is how far a rank reports that its group has stepped.
+// progress holds the steps of a group as reported by one of its ranks.
 type progress struct {
-	step    uint64
-	at      time.Time // since when it has stood at the step with work to do
-	movedAt time.Time // when it was last seen to step
+	step         uint64
+	waitingSince time.Time // first report of the present step with work to do; zero without work
+	steppedAt    time.Time // last report of a new step
 }
 
-// stalled reports that the group has not stepped for longer than a step takes.
+// stalled reports whether the rank has reported the same step with work to do for longer than
+// the given time.
 func (p progress) stalled(now time.Time, after time.Duration) bool {
-	return !p.at.IsZero() && now.Sub(p.at) > after
+	return !p.waitingSince.IsZero() && now.Sub(p.waitingSince) > after
 }
 
-func (p *progress) take(now time.Time, step uint64, working bool) {
+func (p *progress) update(now time.Time, step uint64, working bool) {
 	if step > p.step {
-		p.movedAt = now
+		p.steppedAt = now
 	}
 	switch {
 	case !working:
-		p.at = time.Time{}
-	case step != p.step || p.at.IsZero():
-		p.at = now
+		p.waitingSince = time.Time{}
+	case step != p.step || p.waitingSince.IsZero():
+		p.waitingSince = now
 	}
 	p.step = step
 }
 
-// groupView is what the ranks of a group report about it together.
+// groupView combines the reports of the ranks of a group.
 type groupView struct {
-	formed    uint64    // the latest epoch in which a rank says, or is listed, to be
-	broken    bool      // a rank in that epoch reports that the group is not open
-	stalled   bool      // a rank has stood at one step, or has not been heard, for long
-	epoch     uint64    // the latest of which a rank spoke
-	step      uint64    // the farthest in it
-	movedAt   time.Time // when a rank was first seen to have begun that step
-	missingAt time.Time // a rank was last found out of reach
+	formedEpoch   uint64    // the latest epoch of a rank by its report or the list
+	broken        bool      // a rank in formedEpoch reports that the group is not open
+	stalled       bool      // a rank has not reported a new step for StallAfter although it had work
+	epoch         uint64    // the latest epoch that a rank reported
+	step          uint64    // the last step reported in epoch
+	steppedAt     time.Time // when a rank first reported step
+	unreachableAt time.Time // when a rank was last found unreachable
 }
 
-// standing: a group of which a rank is out of reach may have lost that rank, until
-// it is seen to go on without a pause. Ranks step together, so a group of which any
-// rank was lately seen to step does not stand still, however old the news of another.
+// standing returns the standing of the group's ranks. A group of which a rank is unreachable may
+// have lost that rank, until a later step of the group is reported. Ranks step together, so a
+// group of which any rank has recently reported a new step does not stall, however old the
+// reports of the other ranks are.
 func (g *groupView) standing(now time.Time, p RosterPolicy) Standing {
 	switch {
 	case g == nil:
 		return Good
 	case g.broken:
 		return Unfit
-	case g.stalled && now.Sub(g.movedAt) > p.StallAfter || g.missingAt.After(g.movedAt):
+	case g.stalled && now.Sub(g.steppedAt) > p.StallAfter || g.unreachableAt.After(g.steppedAt):
 		return Suspect
 	default:
 		return Good
 	}
 }
 
-// groups puts together what is known of the groups of the service.
+// groups combines the entries of the service's targets by group.
 func (r *Roster) groups(now time.Time, svc domain.ServiceName) map[domain.GroupName]*groupView {
 	views := map[domain.GroupName]*groupView{}
 	for _, e := range r.entries {
 		g, ok := e.target.Rank()
-		if !ok || e.target.Service() != svc || !e.goneAt.IsZero() {
+		if !ok || e.target.Service() != svc || !e.removedAt.IsZero() {
 			continue
 		}
 		v, ok := views[g.Group]
@@ -71,46 +73,47 @@
 			v = &groupView{}
 			views[g.Group] = v
 		}
-		v.formedAs(r.place(now, e, g))
+		v.addRank(r.freshestRank(now, e, g))
 		v.stalled = v.stalled || e.progress.stalled(now, r.policy.StallAfter)
-		v.moved(e)
-		if at := e.health.missingAt(now); at.After(v.missingAt) {
-			v.missingAt = at
+		v.addProgress(e)
+		if at := e.health.unreachableSince(now); at.After(v.unreachableAt) {
+			v.unreachableAt = at
 		}
 	}
 	return views
 }
 
-// moved takes how far a rank reports that the group is. What a rank reported of an earlier
-// formation does not count.
-func (g *groupView) moved(e *entry) {
+// addProgress adds the step that a rank reported. A report from an earlier formation of the group
+// does not count.
+func (g *groupView) addProgress(e *entry) {
 	p := e.progress
 	switch {
-	case e.own.Epoch < g.epoch:
-	case e.own.Epoch > g.epoch || p.step > g.step:
-		g.epoch, g.step, g.movedAt = e.own.Epoch, p.step, p.movedAt
-	case p.step == g.step && p.movedAt.Before(g.movedAt):
-		g.movedAt = p.movedAt
+	case e.reported.Epoch < g.epoch:
+	case e.reported.Epoch > g.epoch || p.step > g.step:
+		g.epoch, g.step, g.steppedAt = e.reported.Epoch, p.step, p.steppedAt
+	case p.step == g.step && p.steppedAt.Before(g.steppedAt):
+		g.steppedAt = p.steppedAt
 	}
 }
 
-// place is that of the rank by its own report where that is fresh and not of an earlier
-// formation than the list knows of, else by the list.
-func (r *Roster) place(now time.Time, e *entry, listed domain.Rank) domain.Rank {
-	if !e.ownAt.IsZero() && now.Sub(e.ownAt) < r.policy.ReportFresh && e.own.Epoch >= listed.Epoch {
-		return e.own
+// freshestRank returns the rank as the target reports it, if the report is fresh and not of an
+// earlier formation than the listed one, else as listed.
+func (r *Roster) freshestRank(now time.Time, e *entry, listed domain.Rank) domain.Rank {
+	if !e.reportedAt.IsZero() && now.Sub(e.reportedAt) < r.policy.ReportFresh && e.reported.Epoch >= listed.Epoch {
+		return e.reported
 	}
 	return listed
 }
 
-// formedAs takes the place of a rank. A group opens with all of its ranks, so what a rank
-// last reported about an earlier formation does not count against the present one: a box receives
-// reports of the ranks of other halls seldom, and would refuse its callers until it had the last.
-func (g *groupView) formedAs(p domain.Rank) {
+// addRank adds the formation and state of one rank. A group opens with all of its ranks, so a
+// rank's last report about an earlier formation does not count against the present one: a box
+// seldom receives reports of the ranks of other halls, and would refuse its callers until it had
+// the last of them.
+func (g *groupView) addRank(p domain.Rank) {
 	switch {
-	case p.Epoch > g.formed:
-		g.formed, g.broken = p.Epoch, !p.Open
-	case p.Epoch == g.formed:
+	case p.Epoch > g.formedEpoch:
+		g.formedEpoch, g.broken = p.Epoch, !p.Open
+	case p.Epoch == g.formedEpoch:
 		g.broken = g.broken || !p.Open
 	}
 }
--- a/membership/halls.go
+++ b/membership/halls.go
@@ -6,29 +6,30 @@
 	"clovertrail.dev/core/domain"
 )
 
-// hallView is what is known of the way to a data hall.
+// hallView combines the entries of the targets of a data hall.
 type hallView struct {
-	missing   int       // targets that are out of reach
-	missedAt  time.Time // the first of them
-	reachedAt time.Time // any target of the hall
-	lost      int       // targets that were missed last, however long ago
-	watched   int       // targets that have spoken for themselves
-	silent    bool      // while others are heard
+	unreachable      int       // targets that are unreachable now
+	unreachableSince time.Time // earliest time at which one of them was found unreachable
+	reachedAt        time.Time // last response or report of any target of the hall
+	lastFailed       int       // targets whose last connection failed, however long ago
+	reporting        int       // listed targets that have reported themselves
+	silent           bool      // no reports from the hall while other halls report
 }
 
-// cutBy is how many targets of a data hall must be out of reach for the hall to be.
-const cutBy = 2
+// minUnreachable is the number of unreachable targets of a data hall from which the hall as a
+// whole counts as unreachable.
+const minUnreachable = 2
 
-// standing is the best that targets of the hall may have. To a hall that was watched and
-// has fallen silent no request is sent to see whether it is back: what its targets say
-// for themselves shows that sooner, and each request would be lost to its caller.
+// standing returns the best standing that targets of the hall may have. A silent hall gets no
+// requests to test whether it is back: the reports of its targets show that sooner, and each
+// such request would fail for its caller.
 func (h *hallView) standing() Standing {
 	switch {
 	case h == nil:
 		return Good
 	case h.silent:
 		return Unreachable
-	case h.missing >= cutBy && h.missedAt.After(h.reachedAt):
+	case h.unreachable >= minUnreachable && h.unreachableSince.After(h.reachedAt):
 		return Suspect
 	default:
 		return Good
@@ -37,7 +38,7 @@
 
 func (r *Roster) halls(now time.Time) map[domain.HallName]*hallView {
 	views := map[domain.HallName]*hallView{}
-	heard := time.Time{}
+	lastReached := time.Time{}
 	for _, e := range r.entries {
 		v, ok := views[e.target.Hall()]
 		if !ok {
@@ -45,12 +46,12 @@
 			views[e.target.Hall()] = v
 		}
 		v.add(now, e)
-		if v.reachedAt.After(heard) {
-			heard = v.reachedAt
+		if v.reachedAt.After(lastReached) {
+			lastReached = v.reachedAt
 		}
 	}
 	for _, v := range views {
-		v.silent = v.lost >= cutBy && v.watched >= cutBy && heard.Sub(v.reachedAt) > r.policy.ReportFresh
+		v.silent = v.lastFailed >= minUnreachable && v.reporting >= minUnreachable && lastReached.Sub(v.reachedAt) > r.policy.ReportFresh
 	}
 	return views
 }
@@ -59,21 +60,22 @@
 	if e.health.reachedAt.After(h.reachedAt) {
 		h.reachedAt = e.health.reachedAt
 	}
-	if at := e.health.missingAt(now); !at.IsZero() {
-		if h.missing == 0 || at.Before(h.missedAt) {
-			h.missedAt = at
+	if at := e.health.unreachableSince(now); !at.IsZero() {
+		if h.unreachable == 0 || at.Before(h.unreachableSince) {
+			h.unreachableSince = at
 		}
-		h.missing++
+		h.unreachable++
 	}
-	if e.health.misses > 0 {
-		h.lost++
+	if e.health.connectFailures > 0 {
+		h.lastFailed++
 	}
-	if !e.ownAt.IsZero() && e.goneAt.IsZero() {
-		h.watched++
+	if !e.reportedAt.IsZero() && e.removedAt.IsZero() {
+		h.reporting++
 	}
 }
 
-// OtherHallsSilent reports that every data hall with targets but the own has fallen silent.
+// OtherHallsSilent reports whether there are targets in other data halls than the own one, and
+// all of these halls are silent.
 func (r *Roster) OtherHallsSilent(now time.Time, own domain.HallName) bool {
 	others := 0
 	for name, v := range r.halls(now) {
--- a/membership/health.go
+++ b/membership/health.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// health is how attempts at a target, or at a whole service, have ended.
+// health holds the outcomes of attempts at a target, or at a whole service.
 type health struct {
-	failShare   float64 // smoothed
-	samples     int
-	ejections   int
-	ejectedTo   time.Time
-	probationTo time.Time // until when it is on probation after boxes reported it
-
-	turned   int       // attempts in a row that it turned away for want of room
-	turnedTo time.Time // until when it is taken to have none
-
-	misses    int       // times in a row that it could not be reached
-	missedAt  time.Time // the last of them
-	missingTo time.Time // until when it is not tried
-	reachedAt time.Time // its last sign of life
+	failShare      float64 // smoothed share of failures
+	samples        int
+	ejections      int
+	ejectedUntil   time.Time
+	probationUntil time.Time // end of the probation after an ejection for failures that boxes reported
+
+	rejections int       // attempts in a row that the target rejected for lack of capacity
+	fullUntil  time.Time // until when the target is assumed to have no capacity
+
+	connectFailures  int       // failed connections in a row
+	unreachableAt    time.Time // time of the last failed connection
+	unreachableUntil time.Time // until when the target is not tried
+	reachedAt        time.Time // time of the last response or report
 }
 
 const (
 	healthSmoothing = 0.2 // weight of one more attempt in the share of failures
-	healthSamples   = 4   // attempts before a share of failures means something
-	maxEjections    = 8   // doublings of an ejection
-	maxTurned       = 8   // doublings of the time for which a target is taken to have no room
+	healthSamples   = 4   // attempts before a share of failures is significant
+	maxEjections    = 8   // doublings of an ejection, and of the time an unreachable target is not tried
+	maxRejections   = 8   // doublings of the time for which a target is assumed to have no capacity
 )
 
-func (h *health) add(failed bool) {
+func (h *health) addSample(failed bool) {
 	weight := max(healthSmoothing, 1/float64(h.samples+1))
 	sample := 0.0
 	if failed {
@@ -37,16 +37,17 @@
 }
 
 func (h *health) succeeded(now time.Time) {
-	h.reached(now)
-	h.turned = 0
+	h.markReached(now)
+	h.rejections = 0
 	if h.failShare < healthSmoothing {
 		h.ejections = 0
 	}
 }
 
-// worse reports that it fails more often than the whole by more than the share.
-func (h *health) worse(whole *health, share float64) bool {
-	return h.samples >= healthSamples && h.failShare > whole.failShare+share
+// failsMoreThan reports whether the share of failures exceeds that of the whole service by more
+// than the margin.
+func (h *health) failsMoreThan(whole *health, margin float64) bool {
+	return h.samples >= healthSamples && h.failShare > whole.failShare+margin
 }
 
 func (h *health) eject(now time.Time, p RosterPolicy) {
@@ -55,58 +56,62 @@
 	}
 	d := min(p.EjectFor<<min(h.ejections, maxEjections), p.EjectMax)
 	h.ejections++
-	h.ejectedTo = now.Add(d)
+	h.ejectedUntil = now.Add(d)
 	h.samples, h.failShare = 0, 0
 }
 
-func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedTo) }
+func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// probation is how long after its ejection a reported target is on probation: several
-// times what a box that takes it back needs to find out that it still fails.
+// probation is how long a target is on probation after it was ejected for reported failures:
+// several times as long as a box that uses it again needs to find that it still fails.
 const probation = 5 * time.Second
 
-// ejectReported ejects a target that several boxes report failures of.
+// ejectReported ejects a target of which several boxes report failures.
 func (h *health) ejectReported(now time.Time, p RosterPolicy) {
 	d := min(p.PeerEjectFor<<min(h.ejections, maxEjections), p.EjectMax)
 	h.ejections++
-	h.ejectedTo = now.Add(d + time.Duration(p.Spread*float64(d)))
-	h.probationTo = h.ejectedTo.Add(probation)
+	h.ejectedUntil = now.Add(d + time.Duration(p.Spread*float64(d)))
+	h.probationUntil = h.ejectedUntil.Add(probation)
 	h.samples, h.failShare = 0, 0
 }
 
-func (h *health) onProbation(now time.Time) bool { return now.Before(h.probationTo) }
+func (h *health) onProbation(now time.Time) bool { return now.Before(h.probationUntil) }
 
-// turnAway takes that the target turned an attempt away for want of room. The first counts
-// against it already: one that turns all away has nothing open, and draws the load.
-func (h *health) turnAway(now time.Time, p RosterPolicy) {
+// markFull records that the target rejected an attempt for lack of capacity. The first rejection
+// has an effect already: a target that rejects all attempts has none open, and would attract the
+// load.
+func (h *health) markFull(now time.Time, p RosterPolicy) {
 	if h.full(now) {
-		return // what was under way as the first was turned away reports nothing new
+		return // attempts that were under way at the first rejection give no new information
 	}
-	h.turnedTo = now.Add(min(p.RejectedFor<<min(h.turned, maxTurned), p.RejectedMax))
-	h.turned++
+	h.fullUntil = now.Add(min(p.RejectedFor<<min(h.rejections, maxRejections), p.RejectedMax))
+	h.rejections++
 }
 
-func (h *health) full(now time.Time) bool { return now.Before(h.turnedTo) }
+func (h *health) full(now time.Time) bool { return now.Before(h.fullUntil) }
 
-// unreach takes that no connection could be made.
-func (h *health) unreach(now time.Time, p RosterPolicy) {
+// markUnreachable records a failed connection.
+func (h *health) markUnreachable(now time.Time, p RosterPolicy) {
 	if h.unreachable(now) {
 		return
 	}
-	d := min(p.EjectFor<<min(h.misses, maxEjections), p.UnreachableMax)
-	h.misses++
-	h.missedAt, h.missingTo = now, now.Add(d)
+	d := min(p.EjectFor<<min(h.connectFailures, maxEjections), p.UnreachableMax)
+	h.connectFailures++
+	h.unreachableAt, h.unreachableUntil = now, now.Add(d)
 }
 
-// reached takes a sign of life.
-func (h *health) reached(now time.Time) { h.misses, h.missingTo, h.reachedAt = 0, time.Time{}, now }
+// markReached records a response or a report of the target.
+func (h *health) markReached(now time.Time) {
+	h.connectFailures, h.unreachableUntil, h.reachedAt = 0, time.Time{}, now
+}
 
-func (h *health) unreachable(now time.Time) bool { return now.Before(h.missingTo) }
+func (h *health) unreachable(now time.Time) bool { return now.Before(h.unreachableUntil) }
 
-// missingAt is when it was last found out of reach; zero if that is over.
-func (h *health) missingAt(now time.Time) time.Time {
+// unreachableSince returns the time of the last failed connection while the target is not tried
+// because of it; else zero.
+func (h *health) unreachableSince(now time.Time) time.Time {
 	if h.unreachable(now) {
-		return h.missedAt
+		return h.unreachableAt
 	}
 	return time.Time{}
 }
--- a/membership/restored.go
+++ b/membership/restored.go
@@ -7,45 +7,46 @@
 	"clovertrail.dev/store"
 )
 
-// RestoreSettleFor is for how long after the store was restored its list may still have entries of
-// targets that left after the copy was taken: longer than the entry of a target that is gone
-// takes to lapse.
+// RestoreSettleFor is how long after a restore of the store its list may still have entries of
+// targets that left after the backup was taken: longer than the entry of a stopped target takes
+// to lapse.
 const RestoreSettleFor = 5 * time.Second
 
-// enter takes the position of a list, which may be the first of a later era.
-func (r *Roster) enter(now time.Time, at store.Position) {
+// enterEra records the position of a list if it is the first of a later era.
+func (r *Roster) enterEra(now time.Time, at store.Position) {
 	if !r.at.IsZero() && at.Era() > r.at.Era() {
 		r.restoredAt, r.restoredTo = now, at
 	}
 }
 
-// restored reports whether the news is of the first list after a restore, and follows what was
-// known before it. The list may then be as old as the copy.
-func (r *Roster) restored(e *entry, n TargetUpdate) bool {
-	return n.At.Era() > e.at.Era() && !e.at.IsZero() && !n.At.After(r.restoredTo)
+// fromRestore reports whether the update is of the first list after a restore, and the entry from
+// before the restore. The list may then be as old as the backup.
+func (r *Roster) fromRestore(e *entry, u TargetUpdate) bool {
+	return u.At.Era() > e.at.Era() && !e.at.IsZero() && !u.At.After(r.restoredTo)
 }
 
-// outdated reports whether the entry that a list has after a restore says less than what is known
-// of the start: the copy was taken before the target left, lapsed or joined its group anew. A
-// start that was leaving never is ready again; any other entry counts once the list has settled.
-func (r *Roster) outdated(now time.Time, e *entry, n TargetUpdate) bool {
+// outdated reports whether the update comes from a restored list and is older than the known state
+// of the instance: the backup was taken before the target left, lapsed or joined its group anew.
+// An instance that was leaving never becomes ready again; any other entry is accepted once the
+// list has settled.
+func (r *Roster) outdated(now time.Time, e *entry, u TargetUpdate) bool {
 	own := e.target.ID()
-	if !r.restored(e, n) || n.Target == nil || own != "" && n.ID != own {
+	if !r.fromRestore(e, u) || u.Target == nil || own != "" && u.ID != own {
 		return false
 	}
 	switch {
-	case n.Target.State() == domain.TargetLeaving:
+	case u.Target.State() == domain.TargetLeaving:
 		return false
 	case e.target.State() == domain.TargetLeaving:
 		return true
 	case now.Sub(r.restoredAt) >= RestoreSettleFor:
 		return false
 	default:
-		return !e.goneAt.IsZero() || epochOf(*n.Target) <= epochOf(e.target)
+		return !e.removedAt.IsZero() || epochOf(*u.Target) <= epochOf(e.target)
 	}
 }
 
-// epochOf is that of the target's group as listed; zero without a group.
+// epochOf returns the listed epoch of the target's group; zero without a group.
 func epochOf(t domain.Target) uint64 {
 	rank, _ := t.Rank()
 	return rank.Epoch
--- a/membership/standing.go
+++ b/membership/standing.go
@@ -7,28 +7,29 @@
 	"clovertrail.dev/core/domain"
 )
 
-// Standing is what a Roster makes of a target.
+// Standing is a Roster's rating of a target.
 type Standing int
 
 // The standings, from the best to the worst.
 const (
-	// Good: nothing speaks against it.
+	// Good: the target has no recent failures.
 	Good Standing = iota
-	// Suspect: it, or a rank of its group, has lately failed, or it has no room.
+	// Suspect: the target, or a rank of its group, has recently failed, or the target has no
+	// capacity.
 	Suspect
-	// Lapsed: its entry vanished while the store was in trouble; it may live.
+	// Lapsed: the target's entry was removed while the store was unavailable; it may still run.
 	Lapsed
-	// Resting: it asked this box to be sent nothing for a while.
+	// Resting: the target asked this box for no requests for a time.
 	Resting
-	// Unreachable: no connection to it could be made a moment ago.
+	// Unreachable: a recent attempt to connect to the target failed.
 	Unreachable
-	// Unfit: its group does not step.
+	// Unfit: the target's group does not step.
 	Unfit
-	// Leaving: it is leaving or gone, and gets nothing.
+	// Leaving: the target is leaving or has left, and gets no requests.
 	Leaving
 )
 
-// String gives the name of the standing.
+// String returns the name of the standing.
 func (s Standing) String() string {
 	return [...]string{"good", "suspect", "lapsed", "resting", "unreachable", "unfit", "leaving"}[s]
 }
@@ -43,7 +44,7 @@
 }
 
 // Ranked returns the targets of the service that are not leaving, the best standing
-// first, and within one in order of id.
+// first, and within one standing in order of their ids.
 func (r *Roster) Ranked(now time.Time, svc domain.ServiceName) []Ranked {
 	var list []Ranked
 	for _, e := range r.entries {
@@ -55,10 +56,10 @@
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].before(list[j]) })
-	r.restore(list)
+	r.keepMinInUse(list)
 	groups, halls := r.groups(now, svc), r.halls(now)
 	for i := range list {
-		list[i].worsen(now, r.policy, groups, halls)
+		list[i].applyGroupAndHall(now, r.policy, groups, halls)
 	}
 	sort.SliceStable(list, func(i, j int) bool { return list[i].before(list[j]) })
 	return list
@@ -71,44 +72,47 @@
 	return x.Target.ID() < y.Target.ID()
 }
 
-// worsen lets what is known of the target's group and data hall speak against it.
-func (x *Ranked) worsen(now time.Time, p RosterPolicy, groups map[domain.GroupName]*groupView, halls map[domain.HallName]*hallView) {
+// applyGroupAndHall lowers the target's standing to those of its group and of its data hall.
+func (x *Ranked) applyGroupAndHall(now time.Time, p RosterPolicy, groups map[domain.GroupName]*groupView, halls map[domain.HallName]*hallView) {
 	if g, ok := x.Target.Rank(); ok {
 		x.Standing = max(x.Standing, groups[g.Group].standing(now, p))
 	}
 	x.Standing = max(x.Standing, halls[x.Target.Hall()].standing())
 }
 
-// standing is that of the target by itself.
+// standing returns the standing of the target regardless of its group and hall.
 func (r *Roster) standing(now time.Time, e *entry) Standing {
 	switch {
-	case e.replaced, !e.leftAt.IsZero(), e.target.State() != domain.TargetReady, e.gone(now):
+	case e.replaced, !e.leavingAt.IsZero(), e.target.State() != domain.TargetReady, e.expired(now):
 		return Leaving
-	case now.Before(e.restTo):
+	case now.Before(e.restUntil):
 		return Resting
-	case !e.goneAt.IsZero():
+	case !e.removedAt.IsZero():
 		return Lapsed
 	case e.health.unreachable(now):
 		return Unreachable
-	case e.health.ejected(now), e.health.full(now), r.muted(now, e):
+	case e.health.ejected(now), e.health.full(now), r.unresponsive(now, e):
 		return Suspect
 	default:
 		return Good
 	}
 }
 
-// gone reports that the target is not listed, and is not to be used any more either.
-func (e *entry) gone(now time.Time) bool { return !e.goneAt.IsZero() && !now.Before(e.grace) }
+// expired reports whether the target is no longer listed and its grace has ended.
+func (e *entry) expired(now time.Time) bool {
+	return !e.removedAt.IsZero() && !now.Before(e.graceUntil)
+}
 
-// muted reports whether the target used to report about itself and does no more, as on a box
-// that stands still: requests to it would be accepted and not answered.
-func (r *Roster) muted(now time.Time, e *entry) bool {
-	return !e.ownAt.IsZero() && now.Sub(e.ownAt) > r.policy.UnresponsiveAfter && r.heardAt.Sub(e.ownAt) > r.policy.UnresponsiveAfter
+// unresponsive reports whether the target used to report itself and stopped while others go on,
+// as on a box that hangs: requests to such a target would be accepted and never answered.
+func (r *Roster) unresponsive(now time.Time, e *entry) bool {
+	return !e.reportedAt.IsZero() && now.Sub(e.reportedAt) > r.policy.UnresponsiveAfter && r.lastReportAt.Sub(e.reportedAt) > r.policy.UnresponsiveAfter
 }
 
-// restore lets enough targets that failed attempts count as good that ejections leave
-// a set share in use: many that fail at once are more likely one trouble on the way.
-func (r *Roster) restore(list []Ranked) {
+// keepMinInUse marks suspect targets as good again until the share MinInUse of the good and
+// suspect targets is good: if many fail at once, the cause is more likely a common one on the
+// network path.
+func (r *Roster) keepMinInUse(list []Ranked) {
 	good, known := 0, 0
 	for _, x := range list {
 		switch x.Standing {
--- a/membership/target_requests.go
+++ b/membership/target_requests.go
@@ -7,41 +7,44 @@
 	"clovertrail.dev/core/domain"
 )
 
-// What targets ask of this box with their answers. It holds for the start that stated it, whatever
-// the list has: that lags, and does not show whom a target asked for rest.
+// Targets request rest and report that they are leaving in their responses to this box. Both hold
+// for the instance that sent them, whatever the list has: the list lags behind, and does not show
+// which boxes a target asked for rest.
 
-// RestRequested takes that the target wants nothing from this box until the time. Of several times the
-// latest counts: an earlier one may come later from a request that was under way.
+// RestRequested records that the target requests no work from this box until the given time. Of
+// several times the latest counts: an earlier one may arrive later with the response to a request
+// that was under way.
 //
-// One that turns all away has nothing open and seems to have most room, so that without this it
-// would draw the load.
+// A target that rejects all requests has none open and seems to have the most capacity, so that
+// without this it would attract the load.
 func (r *Roster) RestRequested(id domain.InstanceID, until time.Time) {
-	if e, ok := r.of(id); ok && until.After(e.restTo) {
-		e.restTo = until
+	if e, ok := r.lookup(id); ok && until.After(e.restUntil) {
+		e.restUntil = until
 	}
 }
 
-// LeavingReported takes that the target reports that it is leaving, to this box or to another. It reports
-// whether that was news: the list may have reported it before.
+// LeavingReported records the target's report, to this box or to another, that it is leaving. It
+// returns true if the target was ready until now: the list or another report may have come before.
 func (r *Roster) LeavingReported(now time.Time, id domain.InstanceID) bool {
-	e, ok := r.of(id)
-	if !ok || !e.leftAt.IsZero() {
+	e, ok := r.lookup(id)
+	if !ok || !e.leavingAt.IsZero() {
 		return false
 	}
-	e.leftAt = now
-	return e.goneAt.IsZero() && e.target.State() == domain.TargetReady
+	e.leavingAt = now
+	return e.removedAt.IsZero() && e.target.State() == domain.TargetReady
 }
 
-// leaverToldFor is for how long a box notifies others that a target is leaving: a few rounds, of
-// which the first comes at once. Each box that learns of it does the same.
-const leaverToldFor = 3 * time.Second
+// notifyLeavingFor is how long a box notifies others that a target is leaving: a few rounds, the
+// first of which comes at once. Each box that receives the notification sends it on likewise.
+const notifyLeavingFor = 3 * time.Second
 
-// LeavingTargets are the targets that lately reported that they are leaving, in order of their ids, for
-// other boxes: the list may not show these before the targets end.
+// LeavingTargets returns the targets that have recently reported that they are leaving, in order
+// of their ids. They are sent to other boxes because the list may not show them as leaving before
+// they end.
 func (r *Roster) LeavingTargets(now time.Time) []domain.InstanceID {
 	var list []domain.InstanceID
 	for _, e := range r.entries {
-		if !e.leftAt.IsZero() && now.Sub(e.leftAt) < leaverToldFor {
+		if !e.leavingAt.IsZero() && now.Sub(e.leavingAt) < notifyLeavingFor {
 			list = append(list, e.target.ID())
 		}
 	}
@@ -49,9 +52,10 @@
 	return list
 }
 
-// AcceptsWork reports whether the target, chosen a while ago, may still be sent new work.
+// AcceptsWork reports whether a target that was chosen earlier may still be sent new work: it has
+// neither requested rest nor left since.
 func (r *Roster) AcceptsWork(now time.Time, id domain.InstanceID) bool {
-	e, ok := r.of(id)
+	e, ok := r.lookup(id)
 	if !ok {
 		return false
 	}
@@ -59,16 +63,16 @@
 	return s != Resting && s != Leaving
 }
 
-// EarliestRestEnd is when the first of the service's targets that rest takes work again; zero if
-// none rests.
+// EarliestRestEnd returns when the first of the service's resting targets accepts work again;
+// zero if none rests.
 func (r *Roster) EarliestRestEnd(now time.Time, svc domain.ServiceName) time.Time {
 	var first time.Time
 	for _, e := range r.entries {
 		if e.target.Service() != svc || r.standing(now, e) != Resting {
 			continue
 		}
-		if first.IsZero() || e.restTo.Before(first) {
-			first = e.restTo
+		if first.IsZero() || e.restUntil.Before(first) {
+			first = e.restUntil
 		}
 	}
 	return first
