--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,16 +1,16 @@
-// Package membership keeps which targets may get new work, which other entry boxes there
-// are, and from whom a box learns how targets do.
+// Package membership holds which targets may get new work, which other entry boxes there are,
+// and from which boxes the status of targets is requested.
 //
-// A Roster merges the platform's list of targets, what other boxes report about it, what
-// targets report about themselves, and how attempts end, into a standing of each target. Boxes
-// are the other entry boxes; an Outlook decides whom to ask about other data halls. None
-// of them does I/O or reads a clock.
+// A Roster merges the platform's list of targets, the updates of it from other boxes, the reports
+// of targets about themselves, and the outcomes of attempts into a standing of each target. Boxes
+// is the table of the other entry boxes; HallReporters selects the box to query about each other
+// data hall. None of them does I/O or reads a clock.
 //
 // # Usage
 //
 //	r := membership.NewRoster(box, membership.DefaultRosterPolicy(drain))
-//	r.Listed(now, at, news)         // from the store or another box
+//	r.ApplyList(now, at, updates)   // from the store or another box
 //	r.Reported(at, id, rank, step, working)
-//	r.Failed(now, id)               // as attempts end
+//	r.Failed(now, id)               // the outcome of an attempt
 //	for _, x := range r.Ranked(now, service) { ... } // the best standing first
 package membership
--- a/membership/hall_reporters.go
+++ b/membership/hall_reporters.go
@@ -6,46 +6,48 @@
 	"clovertrail.dev/core/domain"
 )
 
-// HallReporters decides from whom a box learns how targets do. Those of its own data hall it
-// asks itself. Of another hall it asks one entry box there, which reports on all targets
-// of that hall at once; only a target of which that box has no fresh report is asked
-// itself. So the bytes between halls do not grow with boxes times targets.
+// HallReporters decides from which boxes or targets this box requests the status of targets. It
+// queries the targets of its own data hall directly. For another hall it queries one entry box
+// there, the reporter, which reports on all targets of that hall at once; only a target of which
+// the reporter has no fresh report is queried directly. So the bytes between halls do not grow
+// with boxes times targets.
 //
 // It does no I/O and is not safe for concurrent use.
 type HallReporters struct {
 	own      domain.HallName
 	role     Role
-	halls    map[domain.HallName]*outpost
+	halls    map[domain.HallName]*hallReporter
 	received map[domain.InstanceID]time.Time // when another box last received a report of a target
 }
 
-// outpost is the entry box that reports on a hall.
-type outpost struct {
-	box        domain.BoxID // that answered last; empty if none does
-	failed     domain.BoxID // that did not answer last; empty if the last one did
+// hallReporter holds the entry box that reports on a hall.
+type hallReporter struct {
+	box        domain.BoxID // the box that reported last; empty after a failure
+	failed     domain.BoxID // the box that failed to report last; empty after a report
 	receivedAt time.Time    // when another box last received a report of a target of the hall
 }
 
-// NewHallReporters returns the outlook of a box in the hall.
+// NewHallReporters returns the reporters for a box in the hall own.
 func NewHallReporters(own domain.HallName) *HallReporters {
-	return &HallReporters{own: own, halls: map[domain.HallName]*outpost{}, received: map[domain.InstanceID]time.Time{}}
+	return &HallReporters{own: own, halls: map[domain.HallName]*hallReporter{}, received: map[domain.InstanceID]time.Time{}}
 }
 
-func (o *HallReporters) outpost(h domain.HallName) *outpost {
-	p, ok := o.halls[h]
+func (r *HallReporters) reporter(h domain.HallName) *hallReporter {
+	p, ok := r.halls[h]
 	if !ok {
-		p = &outpost{}
-		o.halls[h] = p
+		p = &hallReporter{}
+		r.halls[h] = p
 	}
 	return p
 }
 
-// Choose is the box to ask about the hall, of those there that are in touch: the one
-// that answered last, or else any but the one that just did not. false if there is none.
-func (o *HallReporters) Choose(h domain.HallName, there []Contact) (Contact, bool) {
-	p := o.outpost(h)
+// Choose returns the box to query about the hall, of the reachable boxes in the hall: the one that
+// reported last, or else preferably one that has not just failed. It returns false if there is no
+// box.
+func (r *HallReporters) Choose(h domain.HallName, reachable []Contact) (Contact, bool) {
+	p := r.reporter(h)
 	var other Contact
-	for _, c := range there {
+	for _, c := range reachable {
 		if c.Box == p.box {
 			return c, true
 		}
@@ -56,72 +58,72 @@
 	return other, other.Box != ""
 }
 
-// Answered takes that the box reported on its hall. The result reports that it is another box
-// than before.
-func (o *HallReporters) Answered(h domain.HallName, by domain.BoxID) bool {
-	p := o.outpost(h)
-	moved := p.box != by
+// Answered records that the box reported on the hall. It returns true if the reporter changed.
+func (r *HallReporters) Answered(h domain.HallName, by domain.BoxID) bool {
+	p := r.reporter(h)
+	changed := p.box != by
 	p.box, p.failed = by, ""
-	return moved
+	return changed
 }
 
-// Failed takes that the box did not report on its hall. The result reports that it was the
-// one that reported until now.
-func (o *HallReporters) Failed(h domain.HallName, box domain.BoxID) bool {
-	p := o.outpost(h)
+// Failed records that the box did not report on the hall. It returns true if the hall had a
+// reporter until now.
+func (r *HallReporters) Failed(h domain.HallName, box domain.BoxID) bool {
+	p := r.reporter(h)
 	lost := p.box != ""
 	p.box, p.failed = "", box
 	return lost
 }
 
-// Received takes that another box received a report of the target of the hall at the time.
-func (o *HallReporters) Received(h domain.HallName, id domain.InstanceID, at time.Time) {
-	if at.After(o.received[id]) {
-		o.received[id] = at
+// Received records that another box received a report of a target of the hall at the given time.
+func (r *HallReporters) Received(h domain.HallName, id domain.InstanceID, at time.Time) {
+	if at.After(r.received[id]) {
+		r.received[id] = at
 	}
-	if p := o.outpost(h); at.After(p.receivedAt) {
+	if p := r.reporter(h); at.After(p.receivedAt) {
 		p.receivedAt = at
 	}
 }
 
 // SetRole sets the role of this box in its hall.
-func (o *HallReporters) SetRole(r Role) { o.role = r }
+func (r *HallReporters) SetRole(role Role) { r.role = role }
 
-// ShouldQueryTarget reports whether this box is to ask the target itself: it stands in the own hall and
-// no hub asks it, nobody reports on its hall, or who does has received nothing of it for so long. A
-// follower whose hub is lost does not ask at once: another hub reports meanwhile, and
-// all followers of a hall would ask all targets.
-func (o *HallReporters) ShouldQueryTarget(now time.Time, h domain.HallName, id domain.InstanceID, old time.Duration) bool {
-	unheard := now.Sub(o.received[id])
+// ShouldQueryTarget reports whether this box should query the target directly: the target is in
+// the own hall and no hub queries it, its hall has no reporter, or the last report of the target
+// received by another box is older than maxAge. A follower does not query targets at once when its
+// hub is lost: another hub reports in the meantime, and otherwise all followers of a hall would
+// query all targets.
+func (r *HallReporters) ShouldQueryTarget(now time.Time, h domain.HallName, id domain.InstanceID, maxAge time.Duration) bool {
+	age := now.Sub(r.received[id])
 	switch {
-	case o.role != Follower:
-		return h == o.own || o.outpost(h).box == "" || unheard > old
-	case h == o.own:
-		return unheard > old
+	case r.role != Follower:
+		return h == r.own || r.reporter(h).box == "" || age > maxAge
+	case h == r.own:
+		return age > maxAge
 	default:
-		return unheard > 2*old // boxes there are asked first
+		return age > 2*maxAge // boxes in that hall are queried first
 	}
 }
 
-// ShouldQueryPeer reports whether this box is to ask another how the targets of the hall do. A
-// follower asks a hub of its own hall, and boxes of another hall only while the hubs have
-// no fresh news of that.
-func (o *HallReporters) ShouldQueryPeer(now time.Time, h domain.HallName, old time.Duration) bool {
+// ShouldQueryPeer reports whether this box should query another one about the targets of the hall.
+// A follower queries a hub of its own hall, and boxes of another hall only while the hubs have no
+// report of that hall newer than maxAge.
+func (r *HallReporters) ShouldQueryPeer(now time.Time, h domain.HallName, maxAge time.Duration) bool {
 	switch {
-	case h == o.own:
-		return o.role == Follower
-	case o.role == Follower:
-		return now.Sub(o.outpost(h).receivedAt) > old
+	case h == r.own:
+		return r.role == Follower
+	case r.role == Follower:
+		return now.Sub(r.reporter(h).receivedAt) > maxAge
 	default:
 		return true
 	}
 }
 
-// Forget drops what is known of targets that are not in keep.
-func (o *HallReporters) Forget(keep func(domain.InstanceID) bool) {
-	for id := range o.received {
+// Forget deletes the report times of the targets for which keep returns false.
+func (r *HallReporters) Forget(keep func(domain.InstanceID) bool) {
+	for id := range r.received {
 		if !keep(id) {
-			delete(o.received, id)
+			delete(r.received, id)
 		}
 	}
 }
--- a/membership/hubs.go
+++ b/membership/hubs.go
@@ -7,42 +7,44 @@
 	"clovertrail.dev/core/domain"
 )
 
-// In a data hall with many entry boxes a few of them, its hubs, ask its targets how they do
-// and learn of the other halls; the rest ask a hub. If all boxes asked, targets would have to be
-// asked so seldom that the news of far ones is too old to trust them; with hubs it is under a
-// second old.
+// In a data hall with many entry boxes a few of them, its hubs, query the targets of the hall and
+// the reporters of other halls; the other boxes query a hub. If all boxes queried the targets,
+// each target could be queried only so seldom that reports from other halls would be too old to
+// rely on; with hubs they are less than a second old.
 //
-// Nobody appoints hubs. A box is one if few boxes of its hall that it knows to live come
-// before it in the order of names, so the first few boxes always are, and one more here or
-// there does no harm. A box to which no hub reports a target asks the target itself.
+// Hubs are not elected. A box is a hub if fewer than HubsPerHall of the boxes of its hall that it
+// sees as alive precede it in the order of names. So the first few boxes always are hubs, and one
+// more here or there, where boxes see different members, does no harm. A box that receives no
+// report of a target from a hub queries the target itself.
 
 const (
-	// hubsFrom is how many boxes of a hall must be in touch for it to have hubs: with
-	// fewer, a target can answer all of them often enough.
-	hubsFrom = 13
-	// HubsPerHall is how many hubs a hall has: two may be lost at once.
+	// minBoxesForHubs is the number of boxes in contact with each other from which a hall has hubs:
+	// with fewer, a target can respond to all of them often enough.
+	minBoxesForHubs = 13
+	// HubsPerHall is the number of hubs of a hall: two may be lost at once.
 	HubsPerHall = 3
 )
 
-// Role is what a box does for the news of targets in its hall.
+// Role is the role of a box in collecting the status of targets for its hall.
 type Role int
 
 // The roles.
 const (
-	// Standalone: the hall has no hubs, and each box asks its targets.
+	// Standalone: the hall has no hubs, and each box queries its targets.
 	Standalone Role = iota
-	// Hub: it asks for the others.
+	// Hub: the box queries targets on behalf of the others.
 	Hub
-	// Follower: it hears from a hub.
+	// Follower: the box receives reports from a hub.
 	Follower
 )
 
-// String gives the name of the role.
+// String returns the name of the role.
 func (r Role) String() string { return [...]string{"alone", "hub", "follower"}[r] }
 
-// RoleOf is the role of the box in its hall, where the others are in touch.
+// RoleOf returns the role of the box self in its hall, where others are the reachable boxes of
+// the hall besides self.
 func RoleOf(self domain.BoxID, others []Contact) Role {
-	if len(others)+1 < hubsFrom {
+	if len(others)+1 < minBoxesForHubs {
 		return Standalone
 	}
 	if Position(self, others) < HubsPerHall {
@@ -51,7 +53,7 @@
 	return Follower
 }
 
-// Position is how many of the others come before the box.
+// Position returns the number of others that precede the box self in the order of names.
 func Position(self domain.BoxID, others []Contact) int {
 	before := 0
 	for _, c := range others {
@@ -62,10 +64,10 @@
 	return before
 }
 
-// HubsOf are those of a hall's boxes that can report all its targets: its hubs, or all
-// where it has none.
+// HubsOf returns the boxes of a hall that can report on all its targets: its hubs, or all boxes
+// of a hall without hubs.
 func HubsOf(boxes []Contact) []Contact {
-	if len(boxes) < hubsFrom {
+	if len(boxes) < minBoxesForHubs {
 		return boxes
 	}
 	sorted := slices.Clone(boxes)
--- a/membership/incarnation.go
+++ b/membership/incarnation.go
@@ -2,28 +2,29 @@
 
 import "clovertrail.dev/core/domain"
 
-// IncarnationTracker numbers the process of a box after those before it. A process begins with the
-// lowest incarnation, and comes after the latest that another box remembers of its box as
-// soon as one answers. No clock is asked: a box whose clock was set back while it was away
-// would be older than itself to all others, and its reports ignored for as long.
+// IncarnationTracker chooses the incarnation of this box's process, so that it is higher than
+// those of earlier processes of the box. A process begins with the lowest incarnation, and takes
+// the one after the latest that other boxes have recorded as soon as one of them responds. The
+// clock is not used: a box whose clock was set back between two processes would appear older than
+// its earlier process to all others, and its reports would be ignored for as long.
 type IncarnationTracker struct {
 	incarnation domain.Incarnation
-	answered    bool // another box knows this process
+	answered    bool // another box has responded, and so has this process on record
 }
 
-// NewIncarnationTracker returns that of a process that starts.
+// NewIncarnationTracker returns the tracker of a process that starts.
 func NewIncarnationTracker() *IncarnationTracker { return &IncarnationTracker{incarnation: 1} }
 
-// Incarnation is that of the process.
-func (l *IncarnationTracker) Incarnation() domain.Incarnation { return l.incarnation }
+// Incarnation returns the present incarnation of the process.
+func (t *IncarnationTracker) Incarnation() domain.Incarnation { return t.incarnation }
 
-// Observe takes the incarnation under which another box knew this box before it was
-// asked; 0 if it did not. The result reports that the process has another one from now on.
-func (l *IncarnationTracker) Observe(n domain.Incarnation) bool {
-	later := n > l.incarnation || n == l.incarnation && !l.answered
-	l.answered = true
+// Observe records the incarnation that another box had on record for this box before it received
+// the present message; 0 if none. It returns true if the process has a new incarnation from now on.
+func (t *IncarnationTracker) Observe(n domain.Incarnation) bool {
+	later := n > t.incarnation || n == t.incarnation && !t.answered
+	t.answered = true
 	if later {
-		l.incarnation = n + 1
+		t.incarnation = n + 1
 	}
 	return later
 }
