--- a/membership/failure_reports_test.go
+++ b/membership/failure_reports_test.go
@@ -11,7 +11,7 @@
 	"clovertrail.dev/store"
 )
 
-// ranksOf lists so many ranks of a group in a roster of the box.
+// ranksOf returns a roster of the box with n ranks of a group.
 func ranksOf(box domain.BoxID, n int, spread float64) *membership.Roster {
 	p := membership.DefaultRosterPolicy(drain)
 	p.Spread = spread
@@ -30,12 +30,12 @@
 	return membership.FailureReport{Target: rankID(rank), By: box, At: at}
 }
 
-func TestATargetOfWhichSeveralBoxesReportFailuresIsNotUsed(t *testing.T) {
+func TestFailureReportsOfSeveralBoxesEjectTarget(t *testing.T) {
 	const ranks = 9
 	at := start.Add
 	tests := []struct {
 		name     string
-		happens  func(r *membership.Roster)
+		events   func(r *membership.Roster)
 		after    time.Duration
 		suspects int
 	}{
@@ -50,12 +50,12 @@
 			r.ReceiveFailureReport(start, by("b1", 0, start))
 			r.ReceiveFailureReport(start, by("b2", 0, start))
 		}, 0, 1},
-		{"three boxes, of whom one reported long ago", func(r *membership.Roster) {
+		{"three boxes, one of which reported long ago", func(r *membership.Roster) {
 			r.ReceiveFailureReport(start, by("b1", 0, at(-3*time.Second)))
 			r.ReportFailure(start, rankID(0))
 			r.ReceiveFailureReport(start, by("b2", 0, start))
 		}, 0, 0},
-		{"this box was served since", func(r *membership.Roster) {
+		{"the target has served this box since", func(r *membership.Roster) {
 			r.ReportFailure(start, rankID(0))
 			r.Succeeded(start, rankID(0))
 			r.ReceiveFailureReport(start, by("b1", 0, start))
@@ -66,7 +66,7 @@
 				r.ReceiveFailureReport(start, by(b, 0, start))
 			}
 		}, 9 * time.Second, 0},
-		{"one that tries it again is enough", func(r *membership.Roster) {
+		{"one report is enough on probation", func(r *membership.Roster) {
 			for _, b := range []domain.BoxID{"b1", "b2", "b3"} {
 				r.ReceiveFailureReport(start, by(b, 0, start))
 			}
@@ -88,7 +88,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := ranksOf("b0", ranks, 0)
-			tc.happens(r)
+			tc.events(r)
 			n := 0
 			for _, s := range standings(r, at(tc.after)) {
 				if s == membership.Suspect {
@@ -96,43 +96,43 @@
 				}
 			}
 			if n != tc.suspects {
-				t.Errorf("%d suspects, want %d", n, tc.suspects)
+				t.Errorf("%d suspect targets, want %d", n, tc.suspects)
 			}
 		})
 	}
 }
 
-func TestFailureReportsArePassedOnBounded(t *testing.T) {
-	const ranks, boxes, most = 90, 30, 40
+func TestFailureReportsAreBoundedInNumberAndAge(t *testing.T) {
+	const ranks, boxes, limit = 90, 30, 40
 	r := ranksOf("b0", ranks, 0)
 	for i := range ranks {
 		for b := range boxes {
 			r.ReceiveFailureReport(start, by(domain.BoxID(fmt.Sprintf("b%d", b+1)), i, start))
 		}
 	}
-	if n := len(r.FailureReports(start)); n != most {
-		t.Errorf("%d failure reports are sent", n)
+	if n := len(r.FailureReports(start)); n != limit {
+		t.Errorf("%d failure reports are sent, want 40", n)
 	}
 	if n := len(r.FailureReports(start.Add(time.Minute))); n != 0 {
-		t.Errorf("%d failure reports are sent after a minute", n)
+		t.Errorf("%d failure reports are sent after a minute, want none", n)
 	}
 }
 
-// fleetOf plays boxes that share the ranks of a group of which some answer nobody, and
-// gives how many requests these got.
+// fleetOf simulates boxes that share the ranks of a group, of which the first few hang, and counts
+// the requests sent to those.
 type fleetOf struct {
 	boxes, ranks, hanging int
 	perSecond             int
-	tells                 bool
+	exchanges             bool // whether boxes exchange failure reports
 	rnd                   *rand.Rand
 }
 
 func (f fleetOf) wasted(length time.Duration) int {
 	const (
 		tick    = 10 * time.Millisecond
-		overdue = 600 * time.Millisecond // until a box knows that it waits for too long
+		overdue = 600 * time.Millisecond // wait after which a box reports a failure
 		round   = 500 * time.Millisecond // between two exchanges of a box with others
-		told    = 8                      // boxes in a round
+		peers   = 8                      // boxes in a round
 	)
 	var rosters []*membership.Roster
 	for i := range f.boxes {
@@ -141,11 +141,11 @@
 	waiting := map[time.Time][][2]int{}
 	wasted, due := 0, 0.0
 	exchange := func(now time.Time, from int) {
-		for range told {
+		for range peers {
 			to := f.rnd.IntN(f.boxes)
-			for _, way := range [][2]int{{from, to}, {to, from}} {
-				for _, c := range rosters[way[0]].FailureReports(now) {
-					rosters[way[1]].ReceiveFailureReport(now, c)
+			for _, pair := range [][2]int{{from, to}, {to, from}} {
+				for _, x := range rosters[pair[0]].FailureReports(now) {
+					rosters[pair[1]].ReceiveFailureReport(now, x)
 				}
 			}
 		}
@@ -163,12 +163,12 @@
 		}
 		for _, w := range waiting[now] {
 			rosters[w[0]].Failed(now, rankID(w[1]))
-			if tell, _ := rosters[w[0]].ReportFailure(now, rankID(w[1])); tell && f.tells {
+			if notify, _ := rosters[w[0]].ReportFailure(now, rankID(w[1])); notify && f.exchanges {
 				exchange(now, w[0])
 			}
 		}
 		for box := range rosters {
-			if f.tells && now.Sub(start)%round == time.Duration(box)*tick {
+			if f.exchanges && now.Sub(start)%round == time.Duration(box)*tick {
 				exchange(now, box)
 			}
 		}
@@ -176,7 +176,7 @@
 	return wasted
 }
 
-// pick draws among the ranks of the best standing, as callers' load does over time.
+// pick chooses at random among the ranks of the best standing, as callers' load does over time.
 func (f fleetOf) pick(r *membership.Roster, now time.Time) int {
 	list := r.Ranked(now, "s")
 	best := 0
@@ -190,18 +190,19 @@
 	return n
 }
 
-// TestManyBoxesFindTargetsThatAnswerNobody: an eighth of 63 ranks hang for 7 s while
-// 38 boxes send 224 requests a second, which is one in ten seconds from a box to a rank:
-// no box can tell by itself. The numbers are those of a fleet of a hundred boxes at its
-// usual load; a wait of 0.6 s is one and a half times within which callers want answers.
-func TestManyBoxesFindTargetsThatAnswerNobody(t *testing.T) {
+// TestExchangedFailureReportsFindHangingTargets guards against hanging targets that stay in use
+// because no box sends enough requests to one of them to detect it alone. An eighth of 63 ranks
+// hang for 7 s while 38 boxes send 224 requests a second, which is one in ten seconds from a box
+// to a rank. The numbers are those of a fleet of a hundred boxes at its usual load; a wait of
+// 0.6 s is one and a half times the time within which callers expect responses.
+func TestExchangedFailureReportsFindHangingTargets(t *testing.T) {
 	f := fleetOf{boxes: 38, ranks: 63, hanging: 8, perSecond: 224}
 	const length = 7 * time.Second
 	f.rnd = rand.New(rand.NewPCG(1, 2))
-	alone := f.wasted(length)
-	f.tells, f.rnd = true, rand.New(rand.NewPCG(1, 2))
-	together := f.wasted(length)
-	if share := float64(together) / float64(alone); share > 0.35 {
-		t.Errorf("%d requests wasted where boxes tell each other, %d where not: %.2f", together, alone, share)
+	without := f.wasted(length)
+	f.exchanges, f.rnd = true, rand.New(rand.NewPCG(1, 2))
+	with := f.wasted(length)
+	if share := float64(with) / float64(without); share > 0.35 {
+		t.Errorf("%d requests wasted with exchange of failure reports, %d without: share %.2f, want at most 0.35", with, without, share)
 	}
 }
--- a/membership/hubs_test.go
+++ b/membership/hubs_test.go
@@ -8,7 +8,7 @@
 	"clovertrail.dev/membership"
 )
 
-// hallOf is a hall of so many boxes without the one.
+// hallOf returns a hall of so many boxes, without the one of the given number.
 func hallOf(boxes, without int) []membership.Contact {
 	var list []membership.Contact
 	for i := range boxes {
@@ -19,13 +19,13 @@
 	return list
 }
 
-// TestAHallOfManyBoxesHasAFewHubs: thirty boxes of a hall start at once, and know each
-// other; then the first two of them are lost.
-func TestAHallOfManyBoxesHasAFewHubs(t *testing.T) {
+// TestRoleOfGivesLargeHallsThreeHubs covers halls of several sizes, also after the first boxes are
+// lost.
+func TestRoleOfGivesLargeHallsThreeHubs(t *testing.T) {
 	for _, tc := range []struct {
-		name              string
-		boxes, lost       int // the first so many are not in touch
-		hubs, alone, rest int
+		name                        string
+		boxes, lost                 int // the first lost boxes are not reachable
+		hubs, standalone, followers int
 	}{
 		{"a small hall", 12, 0, 0, 12, 0},
 		{"a hall of thirty", 30, 0, 3, 0, 27},
@@ -38,30 +38,30 @@
 				others := hallOf(tc.boxes, i)[tc.lost:]
 				got[membership.RoleOf(domain.BoxID(fmt.Sprintf("b%02d", i)), others)]++
 			}
-			if got[membership.Hub] != tc.hubs || got[membership.Standalone] != tc.alone || got[membership.Follower] != tc.rest {
-				t.Errorf("got %v", got)
+			if got[membership.Hub] != tc.hubs || got[membership.Standalone] != tc.standalone || got[membership.Follower] != tc.followers {
+				t.Errorf("boxes by role: %v", got)
 			}
 		})
 	}
 }
 
-// TestABoxThatKnowsFewIsAHubRatherThanNone: views differ while boxes start, and the first
-// of them must not count on others that do not know that they come first.
-func TestABoxThatKnowsFewIsAHubRatherThanNone(t *testing.T) {
-	others := hallOf(30, 17)[8:] // it has not learned of the first eight
+// TestRoleOfCountsOnlyReachableBoxes: boxes see different members of the hall while they start. A
+// box that sees only few boxes before it must become a hub, or the hall might have none.
+func TestRoleOfCountsOnlyReachableBoxes(t *testing.T) {
+	others := hallOf(30, 17)[8:] // it has not received the first eight yet
 	if r := membership.RoleOf("b17", others); r != membership.Follower {
-		t.Errorf("with nine of its hall before it, it is a %v", r)
+		t.Errorf("with nine boxes of its hall before it, its role is %v", r)
 	}
 	if r := membership.RoleOf("b17", hallOf(30, 17)[15:]); r != membership.Hub {
-		t.Errorf("with two of its hall before it, it is a %v", r)
+		t.Errorf("with two boxes of its hall before it, its role is %v", r)
 	}
 }
 
-func TestHubsAreAskedOfAHallThatHasThem(t *testing.T) {
+func TestHubsOfReturnsAllBoxesOfSmallHall(t *testing.T) {
 	if got := membership.HubsOf(hallOf(30, -1)); len(got) != membership.HubsPerHall || got[0].Box != "b00" {
-		t.Errorf("of thirty: %v", got)
+		t.Errorf("hubs of thirty boxes: %v", got)
 	}
 	if got := membership.HubsOf(hallOf(5, -1)); len(got) != 5 {
-		t.Errorf("of five: %v", got)
+		t.Errorf("of five boxes: %v, want all", got)
 	}
 }
--- a/membership/rejected_test.go
+++ b/membership/rejected_test.go
@@ -8,10 +8,11 @@
 	"clovertrail.dev/membership"
 )
 
-// TestWhoTurnsAttemptsAwayIsSuspectForLonger: each further attempt in a row that a target turns
-// away doubles the time, what was under way meanwhile does not, and one that it serves ends that.
-func TestWhoTurnsAttemptsAwayIsSuspectForLonger(t *testing.T) {
-	const first, most = 250 * time.Millisecond, 4 * time.Second
+// TestRejectionsInARowDoubleTheSuspectTime: each further rejection in a row doubles the time for
+// which a target is suspect, rejections of attempts that were under way in the meantime do not,
+// and a served attempt resets it.
+func TestRejectionsInARowDoubleTheSuspectTime(t *testing.T) {
+	const first, longest = 250 * time.Millisecond, 4 * time.Second
 	r := newRoster()
 	for i := range 4 {
 		r.ApplyUpdate(start, ready(fmt.Sprintf("t-%d", i), 1))
@@ -24,24 +25,24 @@
 		return d
 	}
 	now := start
-	for i, want := range []time.Duration{first, 2 * first, 4 * first, 8 * first, most, most} {
+	for i, want := range []time.Duration{first, 2 * first, 4 * first, 8 * first, longest, longest} {
 		r.Rejected(now, "t-3")
 		r.Rejected(now.Add(time.Millisecond), "t-3")
 		if got := suspectFor(now); got != want {
-			t.Errorf("time %d: %v, want %v", i, got, want)
+			t.Errorf("rejection %d: suspect for %v, want %v", i, got, want)
 		}
 		now = now.Add(want)
 	}
 	r.Succeeded(now, "t-3")
 	r.Rejected(now, "t-3")
 	if got := suspectFor(now); got != first {
-		t.Errorf("after it served: %v, want %v", got, first)
+		t.Errorf("after a served attempt: suspect for %v, want %v", got, first)
 	}
 }
 
-// TestWhereAllTurnAwayHalfStayInUse: nobody knows better than they which has room, so callers are
-// not refused for as long as all would be suspect.
-func TestWhereAllTurnAwayHalfStayInUse(t *testing.T) {
+// TestHalfOfTargetsStayInUseWhenAllReject: only the targets themselves can tell which of them has
+// capacity, so callers must not be refused for as long as all targets would be suspect.
+func TestHalfOfTargetsStayInUseWhenAllReject(t *testing.T) {
 	const targets = 6
 	r := newRoster()
 	for i := range targets {
@@ -55,6 +56,6 @@
 		}
 	}
 	if good != targets/2 {
-		t.Errorf("%d of %d are in use", good, targets)
+		t.Errorf("%d of %d targets are in use, want half", good, targets)
 	}
 }
--- a/membership/target_requests_test.go
+++ b/membership/target_requests_test.go
@@ -10,9 +10,10 @@
 	"clovertrail.dev/membership"
 )
 
-// TestARestingTargetGetsNothing: a target that asked this box for rest gets nothing until the
-// end of it, whatever else is learned of it meanwhile, and then gets work again.
-func TestARestingTargetGetsNothing(t *testing.T) {
+// TestRestingTargetGetsNoWorkUntilRestEnds: a target that requested rest gets no work before the
+// latest requested end, whatever reports and updates arrive in the meantime, and then gets work
+// again.
+func TestRestingTargetGetsNoWorkUntilRestEnds(t *testing.T) {
 	const rest = 3 * time.Second
 	for _, tc := range []struct {
 		name string
@@ -20,18 +21,18 @@
 		at   time.Duration
 		want membership.Standing
 	}{
-		{"in the midst of it", nil, time.Second, membership.Resting},
-		{"just before its end", nil, rest - 1, membership.Resting},
-		{"at its end", nil, rest, membership.Good},
-		{"an answer of before asks for less", func(r *membership.Roster) { r.RestRequested("a", start.Add(time.Second)) }, 2 * time.Second, membership.Resting},
-		{"it asks for more", func(r *membership.Roster) { r.RestRequested("a", start.Add(2*rest)) }, rest, membership.Resting},
-		{"it serves what was under way", func(r *membership.Roster) { r.Succeeded(start, "a") }, time.Second, membership.Resting},
+		{"during the rest", nil, time.Second, membership.Resting},
+		{"just before the end", nil, rest - 1, membership.Resting},
+		{"at the end", nil, rest, membership.Good},
+		{"a late response requests less", func(r *membership.Roster) { r.RestRequested("a", start.Add(time.Second)) }, 2 * time.Second, membership.Resting},
+		{"it requests more", func(r *membership.Roster) { r.RestRequested("a", start.Add(2*rest)) }, rest, membership.Resting},
+		{"it serves a request that was under way", func(r *membership.Roster) { r.Succeeded(start, "a") }, time.Second, membership.Resting},
 		{"the list changes", func(r *membership.Roster) { r.ApplyUpdate(start, ready("a", 2)) }, time.Second, membership.Resting},
 		{"its entry lapses", func(r *membership.Roster) {
 			r.StoreUnavailable(start)
 			r.ApplyUpdate(start, gone("a", 2))
 		}, time.Second, membership.Resting},
-		{"it is out of reach too", func(r *membership.Roster) { r.Unreachable(start, "a") }, 500 * time.Millisecond, membership.Resting},
+		{"it is unreachable too", func(r *membership.Roster) { r.Unreachable(start, "a") }, 500 * time.Millisecond, membership.Resting},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRoster()
@@ -42,18 +43,18 @@
 			}
 			now := start.Add(tc.at)
 			if got := standings(r, now)["a"]; got != tc.want {
-				t.Errorf("%v, want %v", got, tc.want)
+				t.Errorf("standing %v, want %v", got, tc.want)
 			}
 			if got := r.AcceptsWork(now, "a"); got != (tc.want == membership.Good) {
-				t.Errorf("wanted: %v", got)
+				t.Errorf("accepts work: %v", got)
 			}
 		})
 	}
 }
 
-// TestRestsSpareWhoDidNotAsk: the other targets of the service stay in use, those of the same
-// group too, and the floor of ejections does not bring a resting one back.
-func TestRestsSpareWhoDidNotAsk(t *testing.T) {
+// TestRestAppliesToRequestingTargetsOnly: the other targets of the service stay in use, also those
+// of the same group, and the minimum share in use does not bring resting targets back.
+func TestRestAppliesToRequestingTargetsOnly(t *testing.T) {
 	const targets, resting = 8, 6
 	r := newRoster()
 	for i := range targets {
@@ -74,28 +75,29 @@
 		}
 	}
 	if first := r.EarliestRestEnd(now, "s"); !first.Equal(start.Add(4 * time.Second)) {
-		t.Errorf("the first takes work again at %v", first.Sub(start))
+		t.Errorf("the first target accepts work again after %v, want 4s", first.Sub(start))
 	}
 	if first := r.EarliestRestEnd(now, "another"); !first.IsZero() {
 		t.Errorf("a target of another service rests until %v", first)
 	}
 }
 
-// TestWhatATargetSaysOfItsLeavingStays: for its start, whatever the list says later; its next
-// start knows nothing of it, nor of rest that the one before asked for.
-func TestWhatATargetSaysOfItsLeavingStays(t *testing.T) {
+// TestReportedLeavingHoldsForTheInstance: a target's report that it is leaving holds whatever the
+// list has later. It has no effect on the target's next instance, and neither has the rest that
+// the earlier instance requested.
+func TestReportedLeavingHoldsForTheInstance(t *testing.T) {
 	const ready, leaves = domain.TargetReady, domain.TargetLeaving
 	for _, tc := range []struct {
-		name string
-		news []membership.TargetUpdate // after the first start reported that it is leaving
-		id   domain.InstanceID         // whether it may be used
-		want bool
+		name    string
+		updates []membership.TargetUpdate // after the first instance reported that it is leaving
+		id      domain.InstanceID
+		want    bool // whether id may be used
 	}{
-		{"nothing else", nil, startOf(1), false},
-		{"the list says that it is ready", []membership.TargetUpdate{born(1, ready, 2)}, startOf(1), false},
-		{"its entry goes and comes again", []membership.TargetUpdate{gone("a", 2), born(1, ready, 3)}, startOf(1), false},
-		{"it starts again", []membership.TargetUpdate{born(2, ready, 2)}, startOf(2), true},
-		{"it starts again after the list knew too", []membership.TargetUpdate{born(1, leaves, 2), born(2, ready, 3)}, startOf(2), true},
+		{"no update", nil, startOf(1), false},
+		{"the list has it as ready", []membership.TargetUpdate{born(1, ready, 2)}, startOf(1), false},
+		{"its entry is removed and written again", []membership.TargetUpdate{gone("a", 2), born(1, ready, 3)}, startOf(1), false},
+		{"the next instance starts", []membership.TargetUpdate{born(2, ready, 2)}, startOf(2), true},
+		{"the next instance starts after the list had it as leaving", []membership.TargetUpdate{born(1, leaves, 2), born(2, ready, 3)}, startOf(2), true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRoster()
@@ -104,37 +106,38 @@
 				r.RestRequested(startOf(1), start.Add(time.Minute))
 			}
 			if !r.LeavingReported(start, startOf(1)) {
-				t.Error("it is no news that it is leaving")
+				t.Error("the first report of leaving is not new")
 			}
 			if r.LeavingReported(start, startOf(1)) {
-				t.Error("it is news twice")
+				t.Error("the second report of leaving is new")
 			}
-			for _, n := range tc.news {
-				r.ApplyUpdate(start, n)
+			for _, u := range tc.updates {
+				r.ApplyUpdate(start, u)
 			}
 			if got := mayBeUsed(r, start, string(tc.id)); got != tc.want || r.AcceptsWork(start, tc.id) != tc.want {
-				t.Errorf("may be used: %v, wanted: %v", got, r.AcceptsWork(start, tc.id))
+				t.Errorf("may be used: %v, accepts work: %v", got, r.AcceptsWork(start, tc.id))
 			}
 		})
 	}
 	r := newRoster()
 	r.ApplyUpdate(start, born(1, leaves, 1))
 	if r.LeavingReported(start, startOf(1)) {
-		t.Error("it is news although the list said so")
+		t.Error("the report of leaving is new although the list had it")
 	}
 	if r.LeavingReported(start, startOf(2)) || r.AcceptsWork(start, startOf(2)) {
-		t.Error("a start that is not known is leaving, or wanted")
+		t.Error("an unknown instance is leaving, or accepts work")
 	}
 }
 
-// TestLeaversAreToldForAWhile: to other boxes, from when this box learned of it.
-func TestLeaversAreToldForAWhile(t *testing.T) {
+// TestLeavingTargetsAreListedForLimitedTime: the time runs from the first report that this box
+// received; a report that comes back from another box does not prolong it.
+func TestLeavingTargetsAreListedForLimitedTime(t *testing.T) {
 	r := newRoster()
 	r.ApplyUpdate(start, ready("a", 1))
 	r.ApplyUpdate(start, ready("b", 2))
 	r.LeavingReported(start, "b")
 	r.LeavingReported(start.Add(time.Second), "a")
-	r.LeavingReported(start.Add(2*time.Second), "b") // heard again from a box that it told
+	r.LeavingReported(start.Add(2*time.Second), "b") // comes back from a box that this one notified
 	for _, tc := range []struct {
 		at   time.Duration
 		want []domain.InstanceID
