--- a/membership/hall_reporters_test.go
+++ b/membership/hall_reporters_test.go
@@ -8,131 +8,135 @@
 	"clovertrail.dev/membership"
 )
 
-const old = time.Second
+const maxAge = time.Second
 
-// TestOutlook: a box asks the targets of its own hall, and lets one box report each
-// other hall for as long as that box answers and hears its targets.
-func TestOutlook(t *testing.T) {
+// TestTargetsAreQueriedWithoutFreshReport: a box queries the targets of its own hall directly, and
+// a target of another hall only while that hall has no reporter or no fresh report of the target.
+func TestTargetsAreQueriedWithoutFreshReport(t *testing.T) {
 	for name, tt := range map[string]struct {
 		hall   domain.HallName
-		events func(o *membership.HallReporters)
-		asks   bool
+		events func(r *membership.HallReporters)
+		want   bool
 	}{
-		"own hall":            {"near", func(*membership.HallReporters) {}, true},
-		"nobody told yet":     {"far", func(*membership.HallReporters) {}, true},
-		"told a moment ago":   {"far", func(o *membership.HallReporters) { o.Answered("far", "b"); o.Received("far", "t", start) }, false},
-		"told of others only": {"far", func(o *membership.HallReporters) { o.Answered("far", "b"); o.Received("far", "u", start) }, true},
-		"told long ago":       {"far", func(o *membership.HallReporters) { o.Answered("far", "b"); o.Received("far", "t", start.Add(-2*old)) }, true},
-		"older word comes last": {"far", func(o *membership.HallReporters) {
-			o.Answered("far", "b")
-			o.Received("far", "t", start)
-			o.Received("far", "t", start.Add(-2*old))
+		"own hall":                     {"near", func(*membership.HallReporters) {}, true},
+		"no report yet":                {"far", func(*membership.HallReporters) {}, true},
+		"reported just now":            {"far", func(r *membership.HallReporters) { r.Answered("far", "b"); r.Received("far", "t", start) }, false},
+		"only another target reported": {"far", func(r *membership.HallReporters) { r.Answered("far", "b"); r.Received("far", "u", start) }, true},
+		"reported long ago": {"far", func(r *membership.HallReporters) {
+			r.Answered("far", "b")
+			r.Received("far", "t", start.Add(-2*maxAge))
+		}, true},
+		"an older report comes last": {"far", func(r *membership.HallReporters) {
+			r.Answered("far", "b")
+			r.Received("far", "t", start)
+			r.Received("far", "t", start.Add(-2*maxAge))
 		}, false},
-		"teller stopped answering": {"far", func(o *membership.HallReporters) {
-			o.Answered("far", "b")
-			o.Received("far", "t", start)
-			o.Failed("far", "b")
+		"the reporter failed": {"far", func(r *membership.HallReporters) {
+			r.Answered("far", "b")
+			r.Received("far", "t", start)
+			r.Failed("far", "b")
 		}, true},
-		"another teller answers": {"far", func(o *membership.HallReporters) {
-			o.Received("far", "t", start)
-			o.Failed("far", "b")
-			o.Answered("far", "c")
+		"another reporter answers": {"far", func(r *membership.HallReporters) {
+			r.Received("far", "t", start)
+			r.Failed("far", "b")
+			r.Answered("far", "c")
 		}, false},
-		"the target is forgotten": {"far", func(o *membership.HallReporters) {
-			o.Answered("far", "b")
-			o.Received("far", "t", start)
-			o.Forget(func(domain.InstanceID) bool { return false })
+		"the target is forgotten": {"far", func(r *membership.HallReporters) {
+			r.Answered("far", "b")
+			r.Received("far", "t", start)
+			r.Forget(func(domain.InstanceID) bool { return false })
 		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := membership.NewHallReporters("near")
-			tt.events(o)
-			if got := o.ShouldQueryTarget(start.Add(old/2), tt.hall, "t", old); got != tt.asks {
-				t.Errorf("asks the target itself: %v, want %v", got, tt.asks)
+			r := membership.NewHallReporters("near")
+			tt.events(r)
+			if got := r.ShouldQueryTarget(start.Add(maxAge/2), tt.hall, "t", maxAge); got != tt.want {
+				t.Errorf("queries the target: %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-func TestOutlookStaysWithTheBoxThatAnswers(t *testing.T) {
-	o := membership.NewHallReporters("near")
-	there := []membership.Contact{contact("a", 1), contact("b", 1), contact("c", 1)}
+func TestChooseKeepsReporterThatAnswers(t *testing.T) {
+	r := membership.NewHallReporters("near")
+	reachable := []membership.Contact{contact("a", 1), contact("b", 1), contact("c", 1)}
 	choose := func() domain.BoxID {
-		c, ok := o.Choose("far", there)
+		c, ok := r.Choose("far", reachable)
 		if !ok {
-			t.Fatal("nobody is asked")
+			t.Fatal("no box is chosen")
 		}
 		return c.Box
 	}
-	if !o.Answered("far", "b") || o.Answered("far", "b") {
-		t.Error("the first answer of a box is news, the second is not")
+	if !r.Answered("far", "b") || r.Answered("far", "b") {
+		t.Error("want a change of the reporter at the first answer of a box, and none at the second")
 	}
 	if got := choose(); got != "b" {
-		t.Errorf("asks %s though b answers", got)
+		t.Errorf("chose %s although b answers", got)
 	}
-	if !o.Failed("far", "b") || o.Failed("far", "b") {
-		t.Error("the first failure is news, the second is not")
+	if !r.Failed("far", "b") || r.Failed("far", "b") {
+		t.Error("want the loss of a reporter at the first failure, and none at the second")
 	}
 	if got := choose(); got == "b" {
-		t.Error("asks the box again that just did not answer")
+		t.Error("chose the box that has just failed to answer")
 	}
-	there = there[1:2]
+	reachable = reachable[1:2]
 	if got := choose(); got != "b" {
-		t.Errorf("asks %s, though only b is left", got)
+		t.Errorf("chose %s although only b is reachable", got)
 	}
-	there = nil
-	if _, ok := o.Choose("far", there); ok {
-		t.Error("asks a box that is not in touch")
+	reachable = nil
+	if _, ok := r.Choose("far", reachable); ok {
+		t.Error("chose a box although none is reachable")
 	}
 }
 
-// TestFollowersRelyOnTheirHubs: one of thirty boxes of a hall, whose hub reports on all halls
-// four times a second, until it does no more.
+// TestFollowersRelyOnTheirHubs covers one of thirty boxes of a hall, whose hub reports on all
+// halls four times a second until it fails. All followers must not query all targets at once then.
 func TestFollowersRelyOnTheirHubs(t *testing.T) {
 	ms := time.Millisecond
 	for _, tt := range []struct {
-		name            string
-		after           time.Duration // the hub's last report
-		failed          bool
-		near, far       bool // it asks targets there itself
-		surveys, ofNear bool // it asks boxes of the other hall, and the hubs of its own
+		name                string
+		after               time.Duration // since the hub's last report
+		failed              bool
+		near, far           bool // queries targets of its own hall, and of the other
+		farBoxes, nearBoxes bool // queries boxes of the other hall, and the hubs of its own
 	}{
-		{"the hub told a moment ago", 200 * ms, false, false, false, false, true},
-		{"the hub just stopped answering", 400 * ms, true, false, false, false, true},
-		{"no hub has told for long", 1500 * ms, true, true, false, true, true},
-		{"nor any box of the other hall", 2500 * ms, true, true, true, true, true},
+		{"the hub reported just now", 200 * ms, false, false, false, false, true},
+		{"the hub has just failed", 400 * ms, true, false, false, false, true},
+		{"no hub has reported for long", 1500 * ms, true, true, false, true, true},
+		{"nor has any box of the other hall", 2500 * ms, true, true, true, true, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			o := membership.NewHallReporters("near")
-			o.SetRole(membership.Follower)
-			o.Answered("near", "hub")
-			o.Received("near", "t", start)
-			o.Received("far", "u", start)
+			r := membership.NewHallReporters("near")
+			r.SetRole(membership.Follower)
+			r.Answered("near", "hub")
+			r.Received("near", "t", start)
+			r.Received("far", "u", start)
 			if tt.failed {
-				o.Failed("near", "hub")
+				r.Failed("near", "hub")
 			}
 			now := start.Add(tt.after)
-			if near, far := o.ShouldQueryTarget(now, "near", "t", old), o.ShouldQueryTarget(now, "far", "u", old); near != tt.near || far != tt.far {
-				t.Errorf("asks targets itself: near %v, far %v", near, far)
+			if near, far := r.ShouldQueryTarget(now, "near", "t", maxAge), r.ShouldQueryTarget(now, "far", "u", maxAge); near != tt.near || far != tt.far {
+				t.Errorf("queries targets: near %v, far %v", near, far)
 			}
-			if s, n := o.ShouldQueryPeer(now, "far", old), o.ShouldQueryPeer(now, "near", old); s != tt.surveys || n != tt.ofNear {
-				t.Errorf("asks boxes: of the other hall %v, of its own %v", s, n)
+			if farBoxes, nearBoxes := r.ShouldQueryPeer(now, "far", maxAge), r.ShouldQueryPeer(now, "near", maxAge); farBoxes != tt.farBoxes || nearBoxes != tt.nearBoxes {
+				t.Errorf("queries boxes: of the other hall %v, of its own %v", farBoxes, nearBoxes)
 			}
 		})
 	}
 }
 
-// TestAHubAsksForTheOthers: its own targets, and boxes of other halls.
-func TestAHubAsksForTheOthers(t *testing.T) {
-	o := membership.NewHallReporters("near")
-	o.SetRole(membership.Hub)
-	o.Answered("far", "b")
-	o.Received("near", "t", start)
-	o.Received("far", "u", start)
-	if !o.ShouldQueryTarget(start, "near", "t", old) || o.ShouldQueryTarget(start, "far", "u", old) {
-		t.Error("it asks other targets than those of its own hall")
+// TestHubQueriesOwnTargetsAndOtherHalls: a hub queries the targets of its own hall, and boxes of
+// the other halls.
+func TestHubQueriesOwnTargetsAndOtherHalls(t *testing.T) {
+	r := membership.NewHallReporters("near")
+	r.SetRole(membership.Hub)
+	r.Answered("far", "b")
+	r.Received("near", "t", start)
+	r.Received("far", "u", start)
+	if !r.ShouldQueryTarget(start, "near", "t", maxAge) || r.ShouldQueryTarget(start, "far", "u", maxAge) {
+		t.Error("the hub must query the targets of its own hall only")
 	}
-	if o.ShouldQueryPeer(start, "near", old) || !o.ShouldQueryPeer(start, "far", old) {
-		t.Error("it asks other boxes than those of other halls")
+	if r.ShouldQueryPeer(start, "near", maxAge) || !r.ShouldQueryPeer(start, "far", maxAge) {
+		t.Error("the hub must query boxes of other halls only")
 	}
 }
