--- a/membership/instances_test.go
+++ b/membership/instances_test.go
@@ -12,8 +12,8 @@
 	"clovertrail.dev/store"
 )
 
-// startOf is the start of "a" that was born then; 0 is one that never said.
-func startOf(born domain.Born) domain.InstanceID {
+// instance returns the instance of "a" with the birth time; 0 is for an instance without one.
+func instance(born domain.Born) domain.InstanceID {
 	id, err := domain.InstanceOf("a", born)
 	if err != nil {
 		panic(err) // the id is constant
@@ -21,47 +21,47 @@
 	return id
 }
 
-// born is news of a start of "a".
+// born returns an update of the instance of "a" with the birth time.
 func born(at domain.Born, state domain.TargetState, rev store.Revision) membership.TargetUpdate {
-	id := startOf(at)
+	id := instance(at)
 	return membership.TargetUpdate{ID: id, At: pos(rev), Target: target(string(id), state, nil)}
 }
 
-// unusable is an entry of "a" that names no target, at revision 2.
+// unusable returns an update, at revision 2, with an entry of "a" that names no target.
 func unusable() membership.TargetUpdate {
 	return membership.TargetUpdate{ID: "a", At: pos(2), Unusable: true}
 }
 
-func TestNewsOfAnEarlierStartSaysNothingOfALaterOne(t *testing.T) {
+func TestUpdatesOfEarlierInstanceDoNotAffectLaterOne(t *testing.T) {
 	const ready, leaves = domain.TargetReady, domain.TargetLeaving
 	tests := []struct {
-		name string
-		news []membership.TargetUpdate
-		want domain.InstanceID // that may be used; empty for none
+		name    string
+		updates []membership.TargetUpdate
+		want    domain.InstanceID // the instance that may be used; empty for none
 	}{
-		{"it starts again", []membership.TargetUpdate{born(1, ready, 1), born(2, ready, 2)}, startOf(2)},
-		{"it left and starts again", []membership.TargetUpdate{born(1, leaves, 1), born(2, ready, 2)}, startOf(2)},
-		{"the last entry of the start before comes late", []membership.TargetUpdate{born(2, ready, 1), born(1, leaves, 2)}, startOf(2)},
-		{"a late entry of the start before, ready", []membership.TargetUpdate{born(2, leaves, 1), born(1, ready, 2)}, ""},
-		{"the start before is told of by another box, late", []membership.TargetUpdate{born(2, ready, 5), born(1, ready, 1)}, startOf(2)},
-		{"the later start is told of by another box, late", []membership.TargetUpdate{born(1, ready, 5), born(2, ready, 3)}, startOf(2)},
-		{"it went after that", []membership.TargetUpdate{born(1, ready, 1), gone("a", 9), born(2, ready, 3)}, ""},
-		{"its entry goes and comes", []membership.TargetUpdate{born(1, ready, 1), gone("a", 2), born(2, ready, 3)}, startOf(2)},
-		{"an entry without its birth is another writer's", []membership.TargetUpdate{born(1, ready, 1), born(0, ready, 2)}, ""},
-		{"and the next of its own holds", []membership.TargetUpdate{born(1, ready, 1), born(0, ready, 2), born(1, ready, 3)}, startOf(1)},
+		{"the next instance starts", []membership.TargetUpdate{born(1, ready, 1), born(2, ready, 2)}, instance(2)},
+		{"the next instance starts after the first left", []membership.TargetUpdate{born(1, leaves, 1), born(2, ready, 2)}, instance(2)},
+		{"the last entry of the earlier instance is late", []membership.TargetUpdate{born(2, ready, 1), born(1, leaves, 2)}, instance(2)},
+		{"a late entry of the earlier instance, as ready", []membership.TargetUpdate{born(2, leaves, 1), born(1, ready, 2)}, ""},
+		{"another box reports the earlier instance late", []membership.TargetUpdate{born(2, ready, 5), born(1, ready, 1)}, instance(2)},
+		{"another box reports the later instance late", []membership.TargetUpdate{born(1, ready, 5), born(2, ready, 3)}, instance(2)},
+		{"a removal at a later position than the later instance", []membership.TargetUpdate{born(1, ready, 1), gone("a", 9), born(2, ready, 3)}, ""},
+		{"its entry is removed, and the next instance starts", []membership.TargetUpdate{born(1, ready, 1), gone("a", 2), born(2, ready, 3)}, instance(2)},
+		{"an entry without the birth time is from another writer", []membership.TargetUpdate{born(1, ready, 1), born(0, ready, 2)}, ""},
+		{"the next entry of its own is used", []membership.TargetUpdate{born(1, ready, 1), born(0, ready, 2), born(1, ready, 3)}, instance(1)},
 		{"an entry that names no target", []membership.TargetUpdate{born(1, ready, 1), unusable()}, ""},
-		{"older than what is known", []membership.TargetUpdate{born(1, ready, 3), unusable()}, startOf(1)},
+		{"an entry that names no target, older than the known one", []membership.TargetUpdate{born(1, ready, 3), unusable()}, instance(1)},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRoster()
-			for _, n := range tc.news {
-				r.ApplyUpdate(start, n)
+			for _, u := range tc.updates {
+				r.ApplyUpdate(start, u)
 			}
 			list := r.Ranked(start, "s")
 			switch {
 			case tc.want == "" && len(list) > 0:
-				t.Errorf("used: %v", list)
+				t.Errorf("used: %v, want none", list)
 			case tc.want != "" && (len(list) != 1 || list[0].Target.ID() != tc.want):
 				t.Errorf("got %v, want %s", list, tc.want)
 			}
@@ -69,36 +69,36 @@
 	}
 }
 
-func TestNothingThatIsKnownOfAStartHoldsForTheNext(t *testing.T) {
+func TestNextInstanceStartsWithoutStateOfThePrevious(t *testing.T) {
 	r := newRoster()
 	r.ApplyUpdate(start, born(1, domain.TargetReady, 1))
-	r.Replaced(startOf(1))
+	r.Replaced(instance(1))
 	for range 9 {
-		r.Failed(start, startOf(1))
+		r.Failed(start, instance(1))
 	}
-	r.Unreachable(start, startOf(1))
+	r.Unreachable(start, instance(1))
 	r.ApplyUpdate(start, born(2, domain.TargetReady, 2))
 	if s := r.Ranked(start, "s"); len(s) != 1 || s[0].Standing != membership.Good {
-		t.Errorf("the next start stands as %v", s)
+		t.Errorf("the next instance is not good: %v", s)
 	}
-	r.Unreachable(start, startOf(1))
-	r.PeerUnreachable(start, startOf(1), start)
-	r.Replaced(startOf(1))
-	if r.Reported(start, startOf(1), domain.Rank{}, 7, true) {
-		t.Error("word of the start before is taken")
+	r.Unreachable(start, instance(1))
+	r.PeerUnreachable(start, instance(1), start)
+	r.Replaced(instance(1))
+	if r.Reported(start, instance(1), domain.Rank{}, 7, true) {
+		t.Error("a report of the earlier instance was recorded")
 	}
 	if s := r.Ranked(start, "s"); len(s) != 1 || s[0].Standing != membership.Good {
-		t.Errorf("after late word of the start before it stands as %v", s)
+		t.Errorf("the next instance is not good after late reports of the earlier one: %v", s)
 	}
-	if id, ok := r.CurrentInstance("a"); !ok || id != startOf(2) {
-		t.Errorf("under its listed id stands %v", id)
+	if id, ok := r.CurrentInstance("a"); !ok || id != instance(2) {
+		t.Errorf("the current instance under the listed id is %v", id)
 	}
-	if _, known := r.Get(startOf(1)); known {
-		t.Error("the start before is still known")
+	if _, known := r.Get(instance(1)); known {
+		t.Error("the earlier instance is still known")
 	}
 }
 
-func TestAnEntryThatNamesNoTargetIsNoLapse(t *testing.T) {
+func TestUnusableEntryIsNotTreatedAsLapsed(t *testing.T) {
 	r := newRoster()
 	r.ApplyUpdate(start, ready("a", 1))
 	r.StoreUnavailable(start)
@@ -106,16 +106,16 @@
 	if mayBeUsed(r, start, "a") {
 		t.Error("used as if its entry had lapsed with the store")
 	}
-	fresh := r.ApplyList(start, pos(5), []membership.TargetUpdate{unusable(), ready("b", 3)})
-	if len(fresh) != 1 || mayBeUsed(r, start, "a") || !mayBeUsed(r, start, "b") {
-		t.Errorf("a listing says otherwise than a change: %v", fresh)
+	applied := r.ApplyList(start, pos(5), []membership.TargetUpdate{unusable(), ready("b", 3)})
+	if len(applied) != 1 || mayBeUsed(r, start, "a") || !mayBeUsed(r, start, "b") {
+		t.Errorf("a list has another effect than an update: %v", applied)
 	}
 }
 
-// TestStartsInAnyOrder delivers what the store held of one target, lost, late, doubled and
-// out of order. Whatever comes: a start is used only if no later one was learned of, and once
-// all is known it is what the last entry of the last start says.
-func TestStartsInAnyOrder(t *testing.T) {
+// TestInstancesInAnyOrder delivers the store's entries of one target with loss, delay, duplicates
+// and out of order. An instance must be used only if no later one was received, and after all
+// entries the last entry of the last instance must decide.
+func TestInstancesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var history []membership.TargetUpdate
 		at := domain.Born(1)
@@ -127,29 +127,29 @@
 			history = append(history, born(at, state, rev))
 		}
 		r, latest := newRoster(), domain.Born(0)
-		deliver := func(n membership.TargetUpdate) {
-			r.ApplyUpdate(start, n)
-			latest = max(latest, n.ID.Born())
+		deliver := func(u membership.TargetUpdate) {
+			r.ApplyUpdate(start, u)
+			latest = max(latest, u.ID.Born())
 			for _, x := range r.Ranked(start, "s") {
 				if x.Target.ID().Born() != latest {
-					rt.Fatalf("uses %s after word of %d", x.Target.ID(), latest)
+					rt.Fatalf("uses %s after an update of the instance born at %d", x.Target.ID(), latest)
 				}
 			}
 		}
 		for range rapid.IntRange(0, 30).Draw(rt, "deliveries") {
-			deliver(rapid.SampledFrom(history).Draw(rt, "news"))
+			deliver(rapid.SampledFrom(history).Draw(rt, "update"))
 		}
 		last := history[len(history)-1]
 		deliver(last)
 		got := fmt.Sprint(r.Ranked(start, "s"))
-		for _, n := range history {
-			deliver(n)
+		for _, u := range history {
+			deliver(u)
 		}
 		if again := fmt.Sprint(r.Ranked(start, "s")); again != got {
-			rt.Errorf("%s, and after all of it once more %s", got, again)
+			rt.Errorf("%s, and after all updates once more %s", got, again)
 		}
 		if usable := len(r.Ranked(start.Add(time.Millisecond), "s")) == 1; usable != (last.Target.State() == domain.TargetReady) {
-			rt.Errorf("the last entry says %s, used: %v", last.Target.State(), usable)
+			rt.Errorf("the last entry is %s, used: %v", last.Target.State(), usable)
 		}
 	})
 }
--- a/membership/roster_test.go
+++ b/membership/roster_test.go
@@ -18,7 +18,7 @@
 	return membership.NewRoster("box", membership.DefaultRosterPolicy(drain))
 }
 
-// target is a ready target of the service "s".
+// target returns a target of the service "s" in the given state.
 func target(id string, state domain.TargetState, rank *domain.Rank) *domain.Target {
 	t, err := domain.NewTarget(domain.TargetFields{
 		ID: domain.InstanceID(id), Service: "s", Address: "10.0.0.1:1", Hall: "near", State: state, Slots: 4, Rank: rank,
@@ -41,7 +41,7 @@
 	return membership.TargetUpdate{ID: domain.InstanceID(id), At: pos(rev)}
 }
 
-// standings are those of the service's targets, by id; leaving ones are left out.
+// standings returns the standings of the service's targets by id, without leaving ones.
 func standings(r *membership.Roster, now time.Time) map[domain.InstanceID]membership.Standing {
 	m := map[domain.InstanceID]membership.Standing{}
 	for _, x := range r.Ranked(now, "s") {
@@ -55,55 +55,55 @@
 	return ok && s.Usable()
 }
 
-func TestLeavingTargetsGetNothing(t *testing.T) {
+func TestLeavingTargetsAreNotUsable(t *testing.T) {
 	tests := []struct {
-		name string
-		news []membership.TargetUpdate
-		want bool
+		name    string
+		updates []membership.TargetUpdate
+		want    bool
 	}{
 		{"ready", []membership.TargetUpdate{ready("a", 1)}, true},
 		{"leaving", []membership.TargetUpdate{ready("a", 1), leaving("a", 2)}, false},
-		{"gone without a word", []membership.TargetUpdate{ready("a", 1), gone("a", 2)}, false},
-		{"older news of its leaving", []membership.TargetUpdate{ready("a", 5), leaving("a", 4)}, true},
-		{"older news of its being ready", []membership.TargetUpdate{leaving("a", 5), ready("a", 4)}, false},
-		{"back under the same id", []membership.TargetUpdate{ready("a", 1), gone("a", 2), ready("a", 3)}, true},
-		{"older news after it went", []membership.TargetUpdate{gone("a", 5), ready("a", 4)}, false},
+		{"removed without a report of leaving", []membership.TargetUpdate{ready("a", 1), gone("a", 2)}, false},
+		{"older update to leaving", []membership.TargetUpdate{ready("a", 5), leaving("a", 4)}, true},
+		{"older update to ready", []membership.TargetUpdate{leaving("a", 5), ready("a", 4)}, false},
+		{"listed again under the same id", []membership.TargetUpdate{ready("a", 1), gone("a", 2), ready("a", 3)}, true},
+		{"older update after its removal", []membership.TargetUpdate{gone("a", 5), ready("a", 4)}, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRoster()
-			for _, n := range tc.news {
-				r.ApplyUpdate(start, n)
+			for _, u := range tc.updates {
+				r.ApplyUpdate(start, u)
 			}
 			if got := mayBeUsed(r, start, "a"); got != tc.want {
-				t.Errorf("usable: %v", got)
+				t.Errorf("usable: %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-func TestAListTakesAwayWhatIsNotInIt(t *testing.T) {
+func TestApplyListRemovesUnlistedTargets(t *testing.T) {
 	r := newRoster()
 	r.ApplyList(start, pos(10), []membership.TargetUpdate{ready("a", 1), ready("b", 2)})
-	fresh := r.ApplyList(start, pos(20), []membership.TargetUpdate{ready("b", 2), ready("c", 15)})
-	if len(fresh) != 2 { // c came, a went
-		t.Errorf("news: %+v", fresh)
+	applied := r.ApplyList(start, pos(20), []membership.TargetUpdate{ready("b", 2), ready("c", 15)})
+	if len(applied) != 2 { // c was added, a removed
+		t.Errorf("applied updates: %+v", applied)
 	}
 	if mayBeUsed(r, start, "a") || !mayBeUsed(r, start, "b") || !mayBeUsed(r, start, "c") {
-		t.Errorf("got %v", standings(r, start))
+		t.Errorf("standings: %v, want b and c usable", standings(r, start))
 	}
 	if r.ApplyList(start, pos(15), []membership.TargetUpdate{ready("a", 1)}) != nil {
-		t.Error("an older list brought news")
+		t.Error("an older list was applied")
 	}
-	r.ApplyUpdate(start, ready("d", 30)) // known from a peer, past the next list
+	r.ApplyUpdate(start, ready("d", 30)) // received from a peer, newer than the next list
 	r.ApplyList(start, pos(30), nil)
 	r.ApplyList(start, pos(25), nil)
 	if mayBeUsed(r, start, "b") {
-		t.Error("an empty list left a target")
+		t.Error("b is still used after an empty list")
 	}
 }
 
-func TestEntriesThatLapseWithTheStoreAreUsedForAWhile(t *testing.T) {
+func TestEntriesThatLapseWhileStoreIsUnavailableStayUsableForGrace(t *testing.T) {
 	r := newRoster()
 	r.ApplyUpdate(start, ready("a", 1))
 	r.ApplyUpdate(start, leaving("b", 2))
@@ -115,10 +115,10 @@
 		t.Errorf("a: %v", s)
 	}
 	if mayBeUsed(r, back, "b") {
-		t.Error("one that had said that it leaves is used")
+		t.Error("b is used although it was leaving")
 	}
 	if end := back.Add(drain - time.Millisecond); mayBeUsed(r, end, "a") {
-		t.Error("still used when the platform's bound ends")
+		t.Error("still used just before the platform's grace to drain ends")
 	}
 	r.ApplyUpdate(back.Add(time.Second), ready("a", 9))
 	if s := standings(r, back.Add(drain))["a"]; s != membership.Good {
@@ -126,27 +126,27 @@
 	}
 }
 
-func TestAnEntryThatGoesWhileTheStoreIsWellMeansLeaving(t *testing.T) {
+func TestEntryRemovedWhileStoreIsAvailableMeansLeaving(t *testing.T) {
 	r := newRoster()
 	r.ApplyUpdate(start, ready("a", 1))
 	r.StoreUnavailable(start)
 	later := start.Add(time.Minute)
 	r.ApplyUpdate(later, gone("a", 2))
 	if mayBeUsed(r, later, "a") {
-		t.Error("used although the store has long been well")
+		t.Error("used although the store has long been available again")
 	}
 }
 
-func TestAnotherInstanceAtTheAddress(t *testing.T) {
+func TestReplacedTargetIsNotUsable(t *testing.T) {
 	r := newRoster()
 	r.ApplyUpdate(start, ready("a", 1))
 	r.Replaced("a")
 	if mayBeUsed(r, start, "a") {
-		t.Error("still used")
+		t.Error("still used after another instance answered at its address")
 	}
 }
 
-func TestUnreachableTargetsAreNotTriedForAWhile(t *testing.T) {
+func TestUnreachableTargetsAreNotTriedForLimitedTime(t *testing.T) {
 	r := newRoster()
 	r.ApplyUpdate(start, ready("a", 1))
 	r.Unreachable(start, "a")
@@ -159,11 +159,11 @@
 	r.Unreachable(start.Add(5*time.Second), "a")
 	r.Succeeded(start.Add(5*time.Second), "a")
 	if !mayBeUsed(r, start.Add(5*time.Second), "a") {
-		t.Error("a sign of life does not count")
+		t.Error("not used after a successful attempt")
 	}
 }
 
-func TestFailingTargetsAreSuspectButNeverMoreThanHalf(t *testing.T) {
+func TestFailingTargetsAreSuspectUpToHalfOfService(t *testing.T) {
 	r := newRoster()
 	ids := []domain.InstanceID{"a", "b", "c", "d"}
 	for i, id := range ids {
@@ -177,7 +177,7 @@
 	}
 	got := standings(r, start)
 	if got["a"] != membership.Suspect || got["b"] != membership.Good {
-		t.Errorf("got %v", got)
+		t.Errorf("standings: %v, want a suspect and b good", got)
 	}
 	for range 40 {
 		r.Failed(start, "b")
@@ -191,11 +191,11 @@
 		}
 	}
 	if good < 2 {
-		t.Errorf("%d of 4 are left: %v", good, standings(r, start))
+		t.Errorf("%d of 4 targets are good, want at least 2: %v", good, standings(r, start))
 	}
 }
 
-func TestAServiceThatFailsAltogetherSuspectsNobody(t *testing.T) {
+func TestNoTargetIsSuspectWhenWholeServiceFails(t *testing.T) {
 	r := newRoster()
 	for i, id := range []string{"a", "b"} {
 		r.ApplyUpdate(start, ready(id, store.Revision(i+1)))
@@ -211,7 +211,7 @@
 	}
 }
 
-// group lists a group of two ranks.
+// group applies updates that list a group of two ranks.
 func group(r *membership.Roster, rev store.Revision, epoch uint64, open bool) {
 	for i, id := range []string{"r0", "r1"} {
 		rank := &domain.Rank{Group: "g", Epoch: epoch, Number: i, Size: 2, Open: open}
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestGroups(t *testing.T) {
+func TestGroupStandingFollowsReportsOfRanks(t *testing.T) {
 	open := domain.Rank{Group: "g", Epoch: 1, Size: 2, Open: true}
 	broken := open
 	broken.Open = false
@@ -231,36 +231,36 @@
 		want membership.Standing
 	}{
 		{"open", func(*membership.Roster) {}, start, membership.Good},
-		{"a rank says that it is broken", func(r *membership.Roster) { r.Reported(start, "r1", broken, 5, false) }, start, membership.Unfit},
-		{"that word is old", func(r *membership.Roster) { r.Reported(start, "r1", broken, 5, false) }, start.Add(2 * time.Second), membership.Good},
-		{"another rank cannot be reached", func(r *membership.Roster) { r.Unreachable(start, "r1") }, start.Add(100 * time.Millisecond), membership.Suspect},
-		{"but the group steps on", func(r *membership.Roster) {
+		{"a rank reports that the group is not open", func(r *membership.Roster) { r.Reported(start, "r1", broken, 5, false) }, start, membership.Unfit},
+		{"that report is old", func(r *membership.Roster) { r.Reported(start, "r1", broken, 5, false) }, start.Add(2 * time.Second), membership.Good},
+		{"another rank is unreachable", func(r *membership.Roster) { r.Unreachable(start, "r1") }, start.Add(100 * time.Millisecond), membership.Suspect},
+		{"a rank is unreachable and the group steps on", func(r *membership.Roster) {
 			r.Reported(start, "r0", open, 5, true)
 			r.Unreachable(start, "r1")
 			r.Reported(start.Add(100*time.Millisecond), "r0", open, 6, true)
 		}, start.Add(200 * time.Millisecond), membership.Good},
-		{"work and no step", func(r *membership.Roster) {
+		{"work and no new step", func(r *membership.Roster) {
 			r.Reported(start, "r0", open, 5, true)
 			r.Reported(second, "r0", open, 5, true)
 		}, second, membership.Suspect},
-		{"a rank is not heard and the group steps on", func(r *membership.Roster) {
+		{"one rank does not report and the group steps on", func(r *membership.Roster) {
 			r.Reported(start, "r0", open, 5, true)
 			r.Reported(start.Add(400*time.Millisecond), "r1", open, 6, true)
 			r.Reported(start.Add(800*time.Millisecond), "r1", open, 7, true)
 		}, second, membership.Good},
-		{"a rank that is heard late tells of a step that others told before", func(r *membership.Roster) {
+		{"a late report repeats a step that others reported before", func(r *membership.Roster) {
 			r.Reported(start, "r0", open, 5, true)
 			r.Reported(start, "r1", open, 6, true)
 			r.Reported(start.Add(900*time.Millisecond), "r0", open, 6, true)
 		}, second, membership.Suspect},
-		{"formed anew, with the word of a rank from before", func(r *membership.Roster) {
+		{"formed anew, with a rank's report from before", func(r *membership.Roster) {
 			r.Reported(start, "r0", open, 900, true)
 			later := open
 			later.Epoch = 2
 			r.Reported(start.Add(400*time.Millisecond), "r1", later, 1, true)
 			r.Reported(start.Add(800*time.Millisecond), "r1", later, 2, true)
 		}, second, membership.Good},
-		{"no step and no work", func(r *membership.Roster) {
+		{"no new step and no work", func(r *membership.Roster) {
 			r.Reported(start, "r0", open, 5, false)
 			r.Reported(second, "r0", open, 5, false)
 		}, second, membership.Good},
@@ -277,28 +277,27 @@
 	}
 }
 
-func TestTargetsOfAHallThatIsCutAreSuspect(t *testing.T) {
+func TestTargetsOfUnreachableHallAreSuspect(t *testing.T) {
 	r := newRoster()
 	for i, id := range []string{"a", "b", "c"} {
 		r.ApplyUpdate(start, ready(id, store.Revision(i+1)))
 	}
 	r.Unreachable(start, "a")
 	if s := standings(r, start)["c"]; s != membership.Good {
-		t.Errorf("after one: %v", s)
+		t.Errorf("one unreachable target in the hall: c is %v, want good", s)
 	}
 	r.Unreachable(start, "b")
 	if s := standings(r, start)["c"]; s != membership.Suspect {
-		t.Errorf("after two: %v", s)
+		t.Errorf("two unreachable targets in the hall: c is %v, want suspect", s)
 	}
 	r.Succeeded(start.Add(time.Millisecond), "c")
 	if s := standings(r, start.Add(time.Millisecond))["c"]; s != membership.Good {
-		t.Errorf("after a sign of life: %v", s)
+		t.Errorf("after a successful attempt: c is %v, want good", s)
 	}
 }
 
-// TestOrderOfNewsDoesNotMatter gives the same changes to two boxes in different
-// orders, one of them with whole lists between: both end with the same targets.
-// twoHalls has three watched targets in a far data hall and two in the near one.
+// twoHalls lists three targets in a far data hall and two in the near one, all of which have
+// reported themselves.
 func twoHalls(now time.Time, r *membership.Roster) {
 	for i, id := range []string{"f1", "f2", "f3", "n1", "n2"} {
 		t, err := domain.NewTarget(domain.TargetFields{
@@ -313,80 +312,82 @@
 	}
 }
 
-func TestATargetThatStopsSpeakingIsSuspect(t *testing.T) {
+func TestUnresponsiveTargetIsSuspect(t *testing.T) {
 	tests := []struct {
-		name  string
-		heard map[domain.InstanceID]int // ms after the start
-		want  membership.Standing       // of n1 at 2 s
+		name    string
+		reports map[domain.InstanceID]int // time of the report, ms after the start
+		want    membership.Standing       // of n1 at 2 s
 	}{
-		{"it was heard a moment ago", map[domain.InstanceID]int{"n1": 1000, "n2": 1900}, membership.Good},
-		{"it has been silent, another was heard", map[domain.InstanceID]int{"n2": 1900}, membership.Suspect},
-		{"all have been silent, as after a pause of this box", nil, membership.Good},
-		{"it has spoken again", map[domain.InstanceID]int{"n1": 1950, "n2": 1900}, membership.Good},
+		{"it reported a moment ago", map[domain.InstanceID]int{"n1": 1000, "n2": 1900}, membership.Good},
+		{"it is silent, another target reported", map[domain.InstanceID]int{"n2": 1900}, membership.Suspect},
+		{"all targets are silent, as after a pause of this box", nil, membership.Good},
+		{"it has reported again", map[domain.InstanceID]int{"n1": 1950, "n2": 1900}, membership.Good},
 	}
 	for _, tc := range tests {
 		r := newRoster()
 		twoHalls(start, r)
-		for id, ms := range tc.heard {
+		for id, ms := range tc.reports {
 			r.Reported(start.Add(time.Duration(ms)*time.Millisecond), id, domain.Rank{}, 2, true)
 		}
 		if got := standings(r, start.Add(2*time.Second))["n1"]; got != tc.want {
-			t.Errorf("%s: %v", tc.name, got)
+			t.Errorf("%s: n1 is %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-func TestASilentHallIsNotTriedWithRequests(t *testing.T) {
+func TestSilentHallGetsNoRequests(t *testing.T) {
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	tests := []struct {
-		name   string
-		missed []domain.InstanceID // at 100 ms
-		heard  map[domain.InstanceID]int
-		at     int
-		usable bool // f3
-		cutOff bool
+		name        string
+		unreachable []domain.InstanceID       // at 100 ms
+		reports     map[domain.InstanceID]int // time of the report, ms after the start
+		at          int
+		usable      bool // whether f3 may be used
+		otherSilent bool // whether all halls but the near one are silent
 	}{
-		{"nothing is missed", nil, map[domain.InstanceID]int{"n1": 1500}, 1500, true, false},
-		{"one target is missed", []domain.InstanceID{"f1"}, map[domain.InstanceID]int{"n1": 1500}, 1500, true, false},
-		{"two are missed, and the hall is silent for a second", []domain.InstanceID{"f1", "f2"}, map[domain.InstanceID]int{"n1": 1500}, 1500, false, true},
-		{"long after it fell silent", []domain.InstanceID{"f1", "f2"}, map[domain.InstanceID]int{"n1": 60000}, 60000, false, true},
-		{"two are missed a moment ago", []domain.InstanceID{"f1", "f2"}, map[domain.InstanceID]int{"n1": 900}, 900, true, false},
-		{"two are missed, a third is heard", []domain.InstanceID{"f1", "f2"}, map[domain.InstanceID]int{"n1": 1500, "f3": 1200}, 1500, true, false},
-		{"the hall is heard again", []domain.InstanceID{"f1", "f2"}, map[domain.InstanceID]int{"n1": 60000, "f1": 59990}, 60000, true, false},
-		{"nothing is heard from anywhere", []domain.InstanceID{"f1", "f2"}, nil, 1500, true, false},
+		{"all targets are reachable", nil, map[domain.InstanceID]int{"n1": 1500}, 1500, true, false},
+		{"one target is unreachable", []domain.InstanceID{"f1"}, map[domain.InstanceID]int{"n1": 1500}, 1500, true, false},
+		{"two are unreachable, and the hall is silent for a second", []domain.InstanceID{"f1", "f2"}, map[domain.InstanceID]int{"n1": 1500}, 1500, false, true},
+		{"long after the hall fell silent", []domain.InstanceID{"f1", "f2"}, map[domain.InstanceID]int{"n1": 60000}, 60000, false, true},
+		{"two were found unreachable a moment ago", []domain.InstanceID{"f1", "f2"}, map[domain.InstanceID]int{"n1": 900}, 900, true, false},
+		{"two are unreachable, a third reports", []domain.InstanceID{"f1", "f2"}, map[domain.InstanceID]int{"n1": 1500, "f3": 1200}, 1500, true, false},
+		{"the hall reports again", []domain.InstanceID{"f1", "f2"}, map[domain.InstanceID]int{"n1": 60000, "f1": 59990}, 60000, true, false},
+		{"no hall reports", []domain.InstanceID{"f1", "f2"}, nil, 1500, true, false},
 	}
 	for _, tc := range tests {
 		r := newRoster()
 		twoHalls(start, r)
-		for _, id := range tc.missed {
+		for _, id := range tc.unreachable {
 			r.Unreachable(at(100), id)
 		}
-		for id, ms := range tc.heard {
+		for id, ms := range tc.reports {
 			r.Reported(at(ms), id, domain.Rank{}, 2, true)
 		}
 		if got := mayBeUsed(r, at(tc.at), "f3"); got != tc.usable {
 			t.Errorf("%s: f3 may be used: %v", tc.name, got)
 		}
-		if got := r.OtherHallsSilent(at(tc.at), "near"); got != tc.cutOff {
-			t.Errorf("%s: cut off: %v", tc.name, got)
+		if got := r.OtherHallsSilent(at(tc.at), "near"); got != tc.otherSilent {
+			t.Errorf("%s: other halls are silent: %v", tc.name, got)
 		}
 		if !mayBeUsed(r, at(tc.at), "n1") {
-			t.Errorf("%s: the near hall may not be used", tc.name)
+			t.Errorf("%s: n1 in the near hall may not be used", tc.name)
 		}
 	}
 }
 
-func TestOrderOfNewsDoesNotMatter(t *testing.T) {
+// TestOrderOfUpdatesDoesNotMatter applies the same updates to two rosters in different orders, and
+// the final list of the first to a third roster: all must have the same standings.
+func TestOrderOfUpdatesDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var history []membership.TargetUpdate
 		for rev := range 12 {
 			id := fmt.Sprint(rapid.IntRange(0, 2).Draw(rt, "id"))
 			kinds := []membership.TargetUpdate{ready(id, store.Revision(rev+1)), leaving(id, store.Revision(rev+1)), gone(id, store.Revision(rev+1))}
-			history = append(history, rapid.SampledFrom(kinds).Draw(rt, "news"))
+			history = append(history, rapid.SampledFrom(kinds).Draw(rt, "update"))
 		}
 		inOrder, mixed := newRoster(), newRoster()
-		for _, n := range history {
-			inOrder.ApplyUpdate(start, n)
+		for _, u := range history {
+			inOrder.ApplyUpdate(start, u)
 		}
 		for _, i := range rapid.Permutation([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}).Draw(rt, "order") {
 			mixed.ApplyUpdate(start, history[i])
@@ -402,32 +403,32 @@
 	})
 }
 
-// TestWordThroughOthersIsOrderedByWhenItWasSpoken: what another box heard earlier does
-// not undo what this one heard itself.
-func TestWordThroughOthersIsOrderedByWhenItWasSpoken(t *testing.T) {
+// TestReportsOfPeersAreOrderedByTime: an older report that arrives through another box does not
+// undo a newer one that this box received itself.
+func TestReportsOfPeersAreOrderedByTime(t *testing.T) {
 	r := newRoster()
 	r.ApplyUpdate(start, ready("a", 1))
 	open := domain.Rank{Epoch: 1, Open: true}
 	if !r.Reported(start.Add(time.Second), "a", open, 5, true) {
-		t.Error("the first word is not news")
+		t.Error("the first report is not new")
 	}
 	if r.Reported(start, "a", domain.Rank{Epoch: 1}, 4, true) {
-		t.Error("older word is news")
+		t.Error("an older report is new")
 	}
 	now := start.Add(1100 * time.Millisecond)
 	r.PeerUnreachable(now, "a", start)
 	if !mayBeUsed(r, now, "a") {
-		t.Error("missed by another box before it spoke, and not used")
+		t.Error("not used although it reported after another box could not reach it")
 	}
 	r.PeerUnreachable(now, "a", start.Add(time.Second))
 	if mayBeUsed(r, now, "a") {
-		t.Error("used although nothing came back from its box since it spoke")
+		t.Error("used although another box could not reach it since its last report")
 	}
 	r.Reported(now, "a", open, 6, true)
 	if !mayBeUsed(r, now, "a") {
-		t.Error("it spoke again and is not used")
+		t.Error("not used although it reported again")
 	}
 }
 
-// pos is the position of the revision in the first era.
+// pos returns the position of the revision in the first era.
 func pos(rev store.Revision) store.Position { return store.PositionOf(1, rev) }
--- a/membership/target_requests_test.go
+++ b/membership/target_requests_test.go
@@ -93,22 +93,22 @@
 		id      domain.InstanceID
 		want    bool // whether id may be used
 	}{
-		{"no update", nil, startOf(1), false},
-		{"the list has it as ready", []membership.TargetUpdate{born(1, ready, 2)}, startOf(1), false},
-		{"its entry is removed and written again", []membership.TargetUpdate{gone("a", 2), born(1, ready, 3)}, startOf(1), false},
-		{"the next instance starts", []membership.TargetUpdate{born(2, ready, 2)}, startOf(2), true},
-		{"the next instance starts after the list had it as leaving", []membership.TargetUpdate{born(1, leaves, 2), born(2, ready, 3)}, startOf(2), true},
+		{"no update", nil, instance(1), false},
+		{"the list has it as ready", []membership.TargetUpdate{born(1, ready, 2)}, instance(1), false},
+		{"its entry is removed and written again", []membership.TargetUpdate{gone("a", 2), born(1, ready, 3)}, instance(1), false},
+		{"the next instance starts", []membership.TargetUpdate{born(2, ready, 2)}, instance(2), true},
+		{"the next instance starts after the list had it as leaving", []membership.TargetUpdate{born(1, leaves, 2), born(2, ready, 3)}, instance(2), true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRoster()
 			r.ApplyUpdate(start, born(1, ready, 1))
 			if tc.want {
-				r.RestRequested(startOf(1), start.Add(time.Minute))
+				r.RestRequested(instance(1), start.Add(time.Minute))
 			}
-			if !r.LeavingReported(start, startOf(1)) {
+			if !r.LeavingReported(start, instance(1)) {
 				t.Error("the first report of leaving is not new")
 			}
-			if r.LeavingReported(start, startOf(1)) {
+			if r.LeavingReported(start, instance(1)) {
 				t.Error("the second report of leaving is new")
 			}
 			for _, u := range tc.updates {
@@ -121,10 +121,10 @@
 	}
 	r := newRoster()
 	r.ApplyUpdate(start, born(1, leaves, 1))
-	if r.LeavingReported(start, startOf(1)) {
+	if r.LeavingReported(start, instance(1)) {
 		t.Error("the report of leaving is new although the list had it")
 	}
-	if r.LeavingReported(start, startOf(2)) || r.AcceptsWork(start, startOf(2)) {
+	if r.LeavingReported(start, instance(2)) || r.AcceptsWork(start, instance(2)) {
 		t.Error("an unknown instance is leaving, or accepts work")
 	}
 }
