--- a/membership/boxes.go
+++ b/membership/boxes.go
@@ -198,10 +198,10 @@
 }
 
 // PeersToAdvertise returns recently seen boxes with the time since then: up to limit boxes in
-// all, of which up to maxOld, chosen at random, are not new. New boxes take precedence because
-// other boxes may not have their addresses yet. The others are included so that all boxes see
-// them as alive; a box receives them from many peers, and adverts that listed all boxes would
-// be half of the bytes between halls.
+// all, of which up to maxOld, chosen at random, are not new. New boxes are listed because other
+// boxes may not have their addresses yet, and a few of the rest so that all boxes see them as
+// alive. Other boxes receive them from many peers, and adverts that listed all boxes would be
+// half of the bytes between halls.
 func (b *Boxes) PeersToAdvertise(now time.Time, limit, maxOld int) map[Contact]time.Duration {
 	list := map[Contact]time.Duration{}
 	old := 0
--- a/node/following.go
+++ b/node/following.go
@@ -43,7 +43,7 @@
 
 // firstPause bounds how long a box waits for other boxes to send it what they know, as the
 // whole system starts for the first time: a few times what that takes, from its first advert
-// to their answer (AskAfter and a few ways between boxes). A box that starts later has
+// to their answer (PullDelay and a few ways between boxes). A box that starts later has
 // callers waiting, and asks the store at once.
 const firstPause = 600 * time.Millisecond
 
--- a/node/surveying.go
+++ b/node/surveying.go
@@ -26,7 +26,7 @@
 
 // surveying learns from other entry boxes how targets do: of each other data hall from one
 // box there, or in a hall with hubs of all halls from one of these. It notifies others what it
-// heard (membership.Outlook and membership.RoleOf decide whom to ask).
+// heard (membership.HallReporters and membership.RoleOf decide whom to ask).
 //
 // Lock order: mu, then the fleet's.
 type surveying struct {
