--- a/node/following.go
+++ b/node/following.go
@@ -43,7 +43,7 @@
 
 // firstPause bounds how long a box waits for other boxes to send it what they know, as the
 // whole system starts for the first time: a few times what that takes, from its first advert
-// to their answer (AskAfter and a few ways between boxes). A box that starts later has
+// to their answer (PullDelay and a few ways between boxes). A box that starts later has
 // callers waiting, and asks the store at once.
 const firstPause = 600 * time.Millisecond
 
@@ -63,7 +63,7 @@
 		MaxWait:     mostWait,
 		MinBackoff:  storePause,
 		MaxBackoff:  min(storePauseMost, b.ConfigApply.Std()/pauseShare),
-		RelistDelay: membership.SettleFor + settleSlack,
+		RelistDelay: membership.RestoreSettleFor + settleSlack,
 		ChangePause: b.Drain.Std() / gatherShare, // the rest is for telling targets' leaving on
 	}
 }
@@ -215,7 +215,7 @@
 		return at
 	}
 	f.lost = func() {
-		e.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.StoreTroubled(clock.Now()) })
+		e.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.StoreUnavailable(clock.Now()) })
 	}
 	return f
 }
