--- a/node/choosing.go
+++ b/node/choosing.go
@@ -122,7 +122,7 @@
 
 // admit refuses a request that would wait too long for a slot; mu is held.
 func (f *fleet) admit(now time.Time, q gateway.Query, o routing.Option) error {
-	begins, wait := f.balancer.Begins(now, o)
+	begins, wait := f.balancer.EstimateFirstByte(now, o)
 	ask := admission.Ask{Route: q.Route, Left: q.Deadline.Sub(now), Aim: q.Aim, Begins: begins, Wait: wait}
 	ok, rest := f.gate.Admit(ask, rand.Float64())
 	if ok || !q.First {
--- a/node/peering.go
+++ b/node/peering.go
@@ -179,7 +179,7 @@
 		p.entry.common.Log.Info("boxes share bounds", "boxes", n, "before", p.shared)
 		p.shared = n
 		p.entry.budgets.setBoxes(n)
-		p.entry.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.Among(n) })
+		p.entry.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.SetBoxes(n) })
 	}
 	all := now.Sub(p.allAt) >= tellAllEvery
 	if all {
--- a/node/place.go
+++ b/node/place.go
@@ -66,7 +66,7 @@
 // reportFailure records that it let this box down, unless its whole group
 // stands still, which is no fault of one rank. The fleet is locked.
 func (p *place) reportFailure(now time.Time, r *membership.Roster, b *routing.Balancer) {
-	if !b.Steps(now, p.option) {
+	if !b.IsStepping(now, p.option) {
 		return
 	}
 	tell, ejected := r.LetDown(now, p.target.ID())
@@ -87,12 +87,12 @@
 func (p *place) Drags(now time.Time, tried []domain.InstanceID) bool {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	return p.fleet.balancer.Drags(now, p.option, p.fleet.options(now, p.target.Service(), tried))
+	return p.fleet.balancer.IsStraggler(now, p.option, p.fleet.options(now, p.target.Service(), tried))
 }
 
 // Paused implements gateway.Lease.
 func (p *place) Paused(pause, aim time.Duration) {
-	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.Paused(clock.Now(), p.option, pause, aim) })
+	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.RecordPause(clock.Now(), p.option, pause, aim) })
 }
 
 // End implements gateway.Lease.
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -24,8 +24,8 @@
 // Report is what a target says of its load.
 type Report struct {
 	Running, Waiting int
-	// Pace is how many times longer than usual its steps take; 1 is usual.
-	Pace float64
+	// Slowdown is how many times longer than usual its steps take; 1 is usual.
+	Slowdown float64
 }
 
 const (
@@ -57,8 +57,8 @@
 	return &Balancer{rand: rnd, targets: map[domain.InstanceID]*load{}, steps: map[domain.GroupName]*steps{}, boxes: 1}
 }
 
-// Among sets how many boxes choose among the same targets.
-func (b *Balancer) Among(boxes int) { b.boxes = max(boxes, 1) }
+// SetBoxes sets how many boxes choose among the same targets.
+func (b *Balancer) SetBoxes(boxes int) { b.boxes = max(boxes, 1) }
 
 const (
 	// boxesUsual is how many boxes may each take the target that looks least loaded.
@@ -114,14 +114,14 @@
 	l := b.load(id)
 	l.at = now
 	l.others = float64(max(0, r.Running+r.Waiting-l.open))
-	if r.Pace > 0 {
-		l.pace = r.Pace
+	if r.Slowdown > 0 {
+		l.pace = r.Slowdown
 	}
 }
 
 // Sent counts a request that is sent to the option now.
 func (b *Balancer) Sent(now time.Time, o Option) *Ticket {
-	_, wait := b.Begins(now, o)
+	_, wait := b.EstimateFirstByte(now, o)
 	l := b.load(o.ID)
 	l.open++
 	return &Ticket{load: l, at: now, wait: wait}
@@ -147,9 +147,9 @@
 	t.load = nil
 }
 
-// Begins is after how long an answer from the option is expected to begin, and how
+// EstimateFirstByte is after how long an answer from the option is expected to begin, and how
 // much of that the request would wait for a slot.
-func (b *Balancer) Begins(now time.Time, o Option) (total, wait time.Duration) {
+func (b *Balancer) EstimateFirstByte(now time.Time, o Option) (total, wait time.Duration) {
 	l := b.load(o.ID)
 	over := l.work(now) + 1 - float64(o.Slots)
 	if over > 0 && o.Slots > 0 {
@@ -158,8 +158,8 @@
 	return wait + l.first, wait
 }
 
-// Open is how many requests of this box are at the target.
-func (b *Balancer) Open(id domain.InstanceID) int { return b.load(id).open }
+// InFlight is how many requests of this box are at the target.
+func (b *Balancer) InFlight(id domain.InstanceID) int { return b.load(id).open }
 
 // Forget drops what is known of targets that are not in keep and owe no answer, and of
 // groups that have been idle for long.
@@ -188,8 +188,8 @@
 	return b.least(now, hall, b.look(b.group(now, hall, options))), true
 }
 
-// Fill is the load of the options as a share of their slots.
-func (b *Balancer) Fill(now time.Time, options []Option) float64 { return b.fill(now, options, 0) }
+// Utilisation is the load of the options as a share of their slots.
+func (b *Balancer) Utilisation(now time.Time, options []Option) float64 { return b.fill(now, options, 0) }
 
 // fill is the load with so much more work, as a share of the slots.
 func (b *Balancer) fill(now time.Time, options []Option, more float64) float64 {
--- a/routing/balancer_test.go
+++ b/routing/balancer_test.go
@@ -74,7 +74,7 @@
 		b.Sent(start, o)
 	}
 	b.Report(start, "a", routing.Report{Running: 3})
-	if fill := b.Fill(start, []routing.Option{o}); fill != 0.75 {
+	if fill := b.Utilisation(start, []routing.Option{o}); fill != 0.75 {
 		t.Errorf("filled to %v, want 0.75", fill)
 	}
 }
@@ -122,7 +122,7 @@
 	}
 	b := newBalancer()
 	for r := range 4 { // one slow rank alone is left out: TestSlowRanksAreLeftOut
-		b.Report(start, domain.InstanceID(fmt.Sprintf("g0-%d", r)), routing.Report{Pace: 3})
+		b.Report(start, domain.InstanceID(fmt.Sprintf("g0-%d", r)), routing.Report{Slowdown: 3})
 	}
 	n := 0
 	for id, k := range spread(b, options, 16) {
@@ -138,14 +138,14 @@
 func TestTheExpectedBeginningGrowsOnceSlotsAreFull(t *testing.T) {
 	b := newBalancer()
 	o := option("a", "near", "")
-	_, wait := b.Begins(start, o)
+	_, wait := b.EstimateFirstByte(start, o)
 	if wait != 0 {
 		t.Errorf("an idle target lets wait %v", wait)
 	}
 	for range 4 {
 		b.Sent(start, o)
 	}
-	total, wait := b.Begins(start, o)
+	total, wait := b.EstimateFirstByte(start, o)
 	if wait <= 0 || total <= wait {
 		t.Errorf("full: begins after %v, of it %v waiting", total, wait)
 	}
@@ -161,11 +161,11 @@
 		b.Ended(start.Add(500*time.Millisecond), k)
 		b.Ended(start.Add(500*time.Millisecond), k) // only once
 	}
-	if total, _ := b.Begins(start, o); total < 380*time.Millisecond || total > 420*time.Millisecond {
+	if total, _ := b.EstimateFirstByte(start, o); total < 380*time.Millisecond || total > 420*time.Millisecond {
 		t.Errorf("begins after %v, want about 400ms", total)
 	}
-	if b.Open("a") != 0 {
-		t.Errorf("%d requests are left open", b.Open("a"))
+	if b.InFlight("a") != 0 {
+		t.Errorf("%d requests are left open", b.InFlight("a"))
 	}
 }
 
@@ -191,7 +191,7 @@
 		taken := map[domain.InstanceID]int{}
 		for box := range boxes {
 			b := routing.NewBalancer(rand.New(rand.NewPCG(uint64(box), 3)))
-			b.Among(boxes)
+			b.SetBoxes(boxes)
 			var options []routing.Option
 			for i := range targets {
 				id := domain.InstanceID(fmt.Sprintf("t-%d", i))
@@ -232,7 +232,7 @@
 			for _, o := range []routing.Option{option("n1", "near", "own"), option("n2", "near", "own"), option("f1", "far", "other"), option("f2", "far", "other")} {
 				o.Slots = 10
 				options = append(options, o)
-				r := routing.Report{Running: tt.running, Pace: 1}
+				r := routing.Report{Running: tt.running, Slowdown: 1}
 				if o.Group == "other" {
 					r.Running = 1
 				}
@@ -243,7 +243,7 @@
 				if o.Group == "other" {
 					pause = 40 * ms
 				}
-				b.Paused(start, o, pause, gapAim)
+				b.RecordPause(start, o, pause, gapAim)
 			}
 			if got, _ := b.Pick(start, "near", options); got.Group != tt.want {
 				t.Errorf("group %s", got.Group)
--- a/routing/groups_test.go
+++ b/routing/groups_test.go
@@ -26,8 +26,8 @@
 			for _, o := range []routing.Option{option("a1", "near", "a"), option("a2", "far", "a"), option("b1", "near", "b"), option("b2", "far", "b")} {
 				o.Slots = 10
 				options = append(options, o)
-				b.Report(start, o.ID, routing.Report{Running: tt.running[o.Group], Pace: 1})
-				b.Paused(start, o, 50*time.Millisecond, gapAim)
+				b.Report(start, o.ID, routing.Report{Running: tt.running[o.Group], Slowdown: 1})
+				b.RecordPause(start, o, 50*time.Millisecond, gapAim)
 			}
 			const picks = 2000
 			a := 0
--- a/routing/steps.go
+++ b/routing/steps.go
@@ -36,9 +36,9 @@
 
 func (s *steps) fresh(now time.Time) bool { return now.Sub(s.at) <= stepsFresh }
 
-// Paused takes the time between two events of a stream of the option, and the longest
+// RecordPause takes the time between two events of a stream of the option, and the longest
 // that is in time; 0 for none. Only what steps in a group is followed.
-func (b *Balancer) Paused(now time.Time, o Option, pause, aim time.Duration) {
+func (b *Balancer) RecordPause(now time.Time, o Option, pause, aim time.Duration) {
 	if aim <= 0 || o.Group == "" {
 		return
 	}
@@ -80,11 +80,11 @@
 	return kept
 }
 
-// Drags reports whether the option makes the steps of its group too long for the streams of
+// IsStraggler reports whether the option makes the steps of its group too long for the streams of
 // all ranks while others of the group, among the options, would not. A slow rank gets no
 // new streams, but those that it has hold all others up until they end. A limited target does not count: a stream that is moved may get no
 // permit, and would be cut.
-func (b *Balancer) Drags(now time.Time, o Option, options []Option) bool {
+func (b *Balancer) IsStraggler(now time.Time, o Option, options []Option) bool {
 	s, ok := b.steps[o.Group]
 	if o.Group == "" || !ok || !s.fresh(now) || s.pauses <= 1 {
 		return false
@@ -98,11 +98,11 @@
 	return b.load(o.ID).pace > slowBy*fastest
 }
 
-// Steps reports that the option's group is seen to step, or that it stands alone: while a
+// IsStepping reports that the option's group is seen to step, or that it stands alone: while a
 // group stands still, what goes wrong at one rank is not that rank's fault. Long steps do
 // not excuse a rank: while demand shifts they are long everywhere, and a rank that answers nobody
 // would be found seconds later.
-func (b *Balancer) Steps(now time.Time, o Option) bool {
+func (b *Balancer) IsStepping(now time.Time, o Option) bool {
 	if o.Group == "" {
 		return true
 	}
--- a/routing/steps_test.go
+++ b/routing/steps_test.go
@@ -43,12 +43,12 @@
 	for _, tc := range tests {
 		b := newBalancer()
 		for _, o := range twoGroups() {
-			r := routing.Report{Running: 4, Pace: 1}
+			r := routing.Report{Running: 4, Slowdown: 1}
 			if pace, ok := tc.pace[string(o.Group)]; ok && o.ID == domain.InstanceID(o.Group)+"1" {
-				r.Pace = pace
+				r.Slowdown = pace
 			}
 			b.Report(start, o.ID, r)
-			b.Paused(start, o, tc.pauses[string(o.Group)], gapAimIf(tc.pauses, o))
+			b.RecordPause(start, o, tc.pauses[string(o.Group)], gapAimIf(tc.pauses, o))
 		}
 		if got, _ := b.Pick(start.Add(tc.after), "near", twoGroups()); got.Group != tc.want {
 			t.Errorf("%s: group %s", tc.name, got.Group)
@@ -72,13 +72,13 @@
 	for range 20 {
 		now = now.Add(50 * time.Millisecond)
 		for _, o := range twoGroups() {
-			b.Paused(now, o, 50*time.Millisecond, gapAim)
+			b.RecordPause(now, o, 50*time.Millisecond, gapAim)
 		}
 	}
 	a1, b1 := twoGroups()[0], twoGroups()[2]
 	b.Sent(now, b1)
 	now = now.Add(110 * time.Millisecond)
-	b.Paused(now, a1, 110*time.Millisecond, gapAim)
+	b.RecordPause(now, a1, 110*time.Millisecond, gapAim)
 	if got, _ := b.Pick(now, "near", twoGroups()); got.Group != "a" {
 		t.Errorf("group %s was chosen", got.Group)
 	}
@@ -98,8 +98,8 @@
 func TestStepsSeenLongAgoAreForgotten(t *testing.T) {
 	b := newBalancer()
 	later := start.Add(2 * time.Minute)
-	b.Paused(start, twoGroups()[0], time.Second, gapAim)
-	b.Paused(later, twoGroups()[2], 50*time.Millisecond, gapAim)
+	b.RecordPause(start, twoGroups()[0], time.Second, gapAim)
+	b.RecordPause(later, twoGroups()[2], 50*time.Millisecond, gapAim)
 	b.Forget(later, func(domain.InstanceID) bool { return true })
 	if got, _ := b.Pick(start, "near", twoGroups()); got.Group != "a" { // asked as of then
 		t.Errorf("the steps of group a are still known: %s was chosen", got.Group)
@@ -125,7 +125,7 @@
 		b := newBalancer()
 		for _, o := range tc.options {
 			pace := max(tc.pace[o.ID], 1)
-			b.Report(start, o.ID, routing.Report{Pace: pace})
+			b.Report(start, o.ID, routing.Report{Slowdown: pace})
 		}
 		got := spread(b, tc.options, 40)
 		for _, o := range tc.options {
@@ -159,15 +159,15 @@
 			b := newBalancer()
 			options := twoGroups()
 			for _, o := range options {
-				b.Report(start, o.ID, routing.Report{Running: 4, Pace: max(tt.paces[o.ID], 1)})
+				b.Report(start, o.ID, routing.Report{Running: 4, Slowdown: max(tt.paces[o.ID], 1)})
 			}
 			for range 5 {
-				b.Paused(start, options[0], tt.pause, gapAim)
+				b.RecordPause(start, options[0], tt.pause, gapAim)
 			}
 			for i := range options[1:] {
 				options[1+i].Limited = tt.limited
 			}
-			if got := b.Drags(start.Add(tt.seen), options[0], options); got != tt.want {
+			if got := b.IsStraggler(start.Add(tt.seen), options[0], options); got != tt.want {
 				t.Errorf("got %v", got)
 			}
 		})
@@ -179,22 +179,22 @@
 	now := time.Unix(0, 0)
 	b := routing.NewBalancer(rand.New(rand.NewPCG(1, 1)))
 	rank := routing.Option{ID: "a", Group: "g", Slots: 4}
-	if b.Steps(now, rank) {
+	if b.IsStepping(now, rank) {
 		t.Error("a group of which nothing was seen steps")
 	}
 	for _, pause := range []time.Duration{60 * time.Millisecond, 150 * time.Millisecond} {
 		for range 20 {
 			now = now.Add(pause)
-			b.Paused(now, rank, pause, aim)
+			b.RecordPause(now, rank, pause, aim)
 		}
-		if !b.Steps(now, rank) {
+		if !b.IsStepping(now, rank) {
 			t.Errorf("does not step, with pauses of %v", pause)
 		}
 	}
-	if b.Steps(now.Add(2*time.Second), rank) {
+	if b.IsStepping(now.Add(2*time.Second), rank) {
 		t.Error("a group that stands still steps")
 	}
-	if !b.Steps(now, routing.Option{ID: "b", Slots: 4}) {
+	if !b.IsStepping(now, routing.Option{ID: "b", Slots: 4}) {
 		t.Error("a target that stands alone does not")
 	}
 }
