--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -28,7 +28,7 @@
 	o      *order
 	w      http.ResponseWriter
 	course *retry.Course
-	purse  retry.Purse
+	purse  retry.Budget
 	tried  []domain.InstanceID
 
 	began  bool   // the head went to the caller
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -254,8 +254,8 @@
 // purse pays for any number of retries.
 type purse struct{}
 
-func (purse) Request(time.Time)   {}
-func (purse) Take(time.Time) bool { return true }
+func (purse) AddRequest(time.Time)   {}
+func (purse) SpendRetry(time.Time) bool { return true }
 
 // quarantine bars work under which so many targets ended, and notes what it is told.
 type quarantine struct {
@@ -299,7 +299,7 @@
 	g := gateway.New(gateway.Parts{
 		Common: telemetry.Quiet(), Speech: speech{}, Fleet: f, Quarantine: q,
 		Pool:  transport.NewPool(transport.Dial(transport.Timing{Connect: time.Second, Unheard: time.Second}), transport.DefaultSettings()),
-		Purse: func(domain.ServiceName) retry.Purse { return purse{} },
+		Purse: func(domain.ServiceName) retry.Budget { return purse{} },
 	})
 	g.Configure(routes(t))
 	s := httptest.NewServer(g)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -121,7 +121,7 @@
 	Pool       *transport.Pool
 	Quarantine Quarantine
 	// Purse pays for further attempts of requests to a service.
-	Purse func(domain.ServiceName) retry.Purse
+	Purse func(domain.ServiceName) retry.Budget
 }
 
 // Gateway serves callers. It is an http.Handler.
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -91,7 +91,7 @@
 // its events come too late, and that is this target's fault.
 func (a *attempt) toMove(now time.Time) bool {
 	aim := a.d.o.route.GapAim()
-	return a.try.Movable && aim > 0 && a.pause > aim && a.lease.Drags(now, a.d.tried) && a.d.purse.Take(now)
+	return a.try.Movable && aim > 0 && a.pause > aim && a.lease.Drags(now, a.d.tried) && a.d.purse.SpendRetry(now)
 }
 
 // noteEvents counts events that came now.
--- a/node/budgets.go
+++ b/node/budgets.go
@@ -16,7 +16,7 @@
 	mu     sync.Mutex
 	bounds process.Bounds
 	boxes  int
-	purses map[domain.ServiceName]*retry.Budget
+	purses map[domain.ServiceName]*retry.TokenBudget
 }
 
 // budgetMargin is the part of the platform's budget that is used. The rest is for
@@ -24,7 +24,7 @@
 const budgetMargin = 0.8
 
 func newBudgets(b process.Bounds) *budgets {
-	return &budgets{bounds: b, boxes: 1, purses: map[domain.ServiceName]*retry.Budget{}}
+	return &budgets{bounds: b, boxes: 1, purses: map[domain.ServiceName]*retry.TokenBudget{}}
 }
 
 // setBoxes sets how many boxes share the budget.
@@ -33,7 +33,7 @@
 	defer b.mu.Unlock()
 	b.boxes = max(n, 1)
 	for _, p := range b.purses {
-		p.SetFree(b.free())
+		p.SetMinRate(b.free())
 	}
 }
 
@@ -44,7 +44,7 @@
 	b.bounds = n
 	for _, p := range b.purses {
 		p.SetShare(n.RetryShare * budgetMargin)
-		p.SetFree(b.free())
+		p.SetMinRate(b.free())
 	}
 }
 
@@ -56,7 +56,7 @@
 }
 
 // purse implements gateway.Parts.Purse.
-func (b *budgets) purse(svc domain.ServiceName) retry.Purse {
+func (b *budgets) purse(svc domain.ServiceName) retry.Budget {
 	return servicePurse{budgets: b, service: svc}
 }
 
@@ -65,24 +65,24 @@
 	service domain.ServiceName
 }
 
-// Request implements retry.Purse.
-func (s servicePurse) Request(now time.Time) {
+// AddRequest implements retry.Purse.
+func (s servicePurse) AddRequest(now time.Time) {
 	s.budgets.mu.Lock()
 	defer s.budgets.mu.Unlock()
 	s.budgets.of(s.service).Request(now)
 }
 
-// Take implements retry.Purse.
-func (s servicePurse) Take(now time.Time) bool {
+// SpendRetry implements retry.Purse.
+func (s servicePurse) SpendRetry(now time.Time) bool {
 	s.budgets.mu.Lock()
 	defer s.budgets.mu.Unlock()
 	return s.budgets.of(s.service).Take(now)
 }
 
-func (b *budgets) of(svc domain.ServiceName) *retry.Budget {
+func (b *budgets) of(svc domain.ServiceName) *retry.TokenBudget {
 	p, ok := b.purses[svc]
 	if !ok {
-		p = retry.NewBudget(b.bounds.RetryShare*budgetMargin, b.free())
+		p = retry.NewTokenBudget(b.bounds.RetryShare*budgetMargin, b.free())
 		b.purses[svc] = p
 	}
 	return p
--- a/retry/course.go
+++ b/retry/course.go
@@ -35,7 +35,7 @@
 // "not run" only if every attempt is proved not to have run.
 type Course struct {
 	rules    Rules
-	purse    Purse
+	purse    Budget
 	sent     int // attempts that reached a target
 	missed   int // attempts that did not
 	ran      bool
@@ -46,7 +46,7 @@
 }
 
 // NewCourse returns the machine of a request that arrived now.
-func NewCourse(r Rules, p Purse) *Course { return &Course{rules: r, purse: p} }
+func NewCourse(r Rules, p Budget) *Course { return &Course{rules: r, purse: p} }
 
 // Reasons are why further attempts were made, oldest first.
 func (c *Course) Reasons() []fault.Kind { return c.reasons }
@@ -56,7 +56,7 @@
 
 // Start gives the first command.
 func (c *Course) Start(now time.Time) Command {
-	c.purse.Request(now)
+	c.purse.AddRequest(now)
 	return c.try(now, false)
 }
 
@@ -178,7 +178,7 @@
 }
 
 func (c *Course) affords(now time.Time) bool {
-	return c.sent < c.rules.Attempts && now.Before(c.rules.Deadline) && c.purse.Take(now)
+	return c.sent < c.rules.Attempts && now.Before(c.rules.Deadline) && c.purse.SpendRetry(now)
 }
 
 func (c *Course) expired(now time.Time) Command {
--- a/retry/course_test.go
+++ b/retry/course_test.go
@@ -16,9 +16,9 @@
 // coins is a purse with so many retries.
 type coins struct{ left int }
 
-func (*coins) Request(time.Time) {}
+func (*coins) AddRequest(time.Time) {}
 
-func (c *coins) Take(time.Time) bool {
+func (c *coins) SpendRetry(time.Time) bool {
 	if c.left == 0 {
 		return false
 	}
