--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -35,7 +35,7 @@
 var errImpatient = errors.New("the answer did not begin in time")
 
 // run makes the attempt and passes on what it brings.
-func (a *attempt) run(caller context.Context) retry.End {
+func (a *attempt) run(caller context.Context) retry.Outcome {
 	ctx, cancel := context.WithCancelCause(caller)
 	defer cancel(nil)
 	if !a.try.Patience.IsZero() {
@@ -84,7 +84,7 @@
 // ended reports whether the target's process ended during the attempt, and not only the
 // attempt's connection. Where a group loses a rank the others cut what they had, and live:
 // what they had is not to be blamed for it.
-func (a *attempt) ended(ctx context.Context, end retry.End) bool {
+func (a *attempt) ended(ctx context.Context, end retry.Outcome) bool {
 	switch end.(type) {
 	case retry.Lost, retry.Broken:
 		return ctx.Err() == nil && a.d.g.parts.Pool.Ended(ctx, a.lease.Target().Address(), a.lease.Witness())
@@ -94,13 +94,13 @@
 }
 
 // impatient gives the end of an attempt that was cut off for its silence.
-func impatient(end retry.End, v Verdict) (retry.End, Verdict) {
-	if _, never := end.(retry.Unreached); never {
+func impatient(end retry.Outcome, v Verdict) (retry.Outcome, Verdict) {
+	if _, never := end.(retry.NotSent); never {
 		return end, v
 	}
-	end = retry.CutShort(end)
+	end = retry.ResolveTimeout(end)
 	switch end.(type) {
-	case retry.Silent:
+	case retry.FirstByteTimedOut:
 		return end, Bad
 	default:
 		return end, Good // it came at the last moment
@@ -108,21 +108,21 @@
 }
 
 // carry sends the request and handles the answer.
-func (a *attempt) carry(ctx context.Context) (retry.End, Verdict) {
+func (a *attempt) carry(ctx context.Context) (retry.Outcome, Verdict) {
 	x, err := a.d.g.parts.Pool.Open(ctx, a.lease.Target().Address(), a.reuse())
 	if err != nil {
-		return retry.Unreached{Err: err}, Unreachable
+		return retry.NotSent{Err: err}, Unreachable
 	}
 	a.exchange = x
 	defer x.Close()
 	// A connection may take a second to come up, and the target may have spoken meanwhile.
 	if !a.lease.Wanted(clock.Now()) {
-		return retry.Unreached{Err: errUnwanted}, Neutral
+		return retry.NotSent{Err: errUnwanted}, Neutral
 	}
 	x.Bind(ctx)
 	req := a.request(ctx)
 	if err := x.Send(req); err != nil && !x.Sent() {
-		return retry.Unreached{Err: err}, Neutral
+		return retry.NotSent{Err: err}, Neutral
 	}
 	// After a failed write an answer may still have come, such as an early refusal.
 	resp, err := x.Receive(req, a.mine)
@@ -167,7 +167,7 @@
 	return id == "" || id == a.d.o.ID()
 }
 
-func (a *attempt) lost(ctx context.Context, err error) (retry.End, Verdict) {
+func (a *attempt) lost(ctx context.Context, err error) (retry.Outcome, Verdict) {
 	if ctx.Err() != nil {
 		return retry.Expired{}, Neutral
 	}
@@ -175,7 +175,7 @@
 }
 
 // answered handles an answer whose head has come.
-func (a *attempt) answered(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+func (a *attempt) answered(ctx context.Context, resp *http.Response) (retry.Outcome, Verdict) {
 	now := clock.Now()
 	a.answer = a.d.g.parts.Speech.Answer(now, resp)
 	if a.answer.Outcome != call.Elsewhere && a.answer.Outcome != call.Foreign {
@@ -200,7 +200,7 @@
 }
 
 // served passes an answer on.
-func (a *attempt) served(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+func (a *attempt) served(ctx context.Context, resp *http.Response) (retry.Outcome, Verdict) {
 	if a.d.o.route.Kind() == catalog.Stream && resp.StatusCode == http.StatusOK {
 		return a.stream(ctx, resp)
 	}
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -27,7 +27,7 @@
 	g      *Gateway
 	o      *order
 	w      http.ResponseWriter
-	course *retry.Course
+	course *retry.Machine
 	purse  retry.Budget
 	tried  []domain.InstanceID
 
@@ -51,7 +51,7 @@
 		Repeat: o.route.MayRepeat(), Resume: o.route.MayResume(), Attempts: o.route.Attempts(),
 		Deadline: o.deadline, Patience: patienceAims * o.route.Aim(),
 	}
-	d.course = retry.NewCourse(rules, d.purse)
+	d.course = retry.NewMachine(rules, d.purse)
 	for cmd := d.course.Start(o.arrived); ; {
 		if callerGone(ctx) {
 			g.left(o, d)
@@ -98,7 +98,7 @@
 	a := &attempt{d: d, lease: lease, try: t}
 	end := a.run(ctx)
 	d.limit = a.answer.Limit
-	if _, served := end.(retry.Answering); served {
+	if _, served := end.(retry.Answered); served {
 		d.g.parts.Quarantine.Served(clock.Now(), d.o.digest)
 	}
 	cmd := d.course.Ended(clock.Now(), end)
--- a/gateway/describe.go
+++ b/gateway/describe.go
@@ -9,9 +9,9 @@
 // describe puts the end of an attempt, or what follows it, into a few words.
 func describe(x any) string {
 	switch x := x.(type) {
-	case retry.Answering:
+	case retry.Answered:
 		return "answered"
-	case retry.Unreached:
+	case retry.NotSent:
 		return "unreached: " + x.Err.Error()
 	case retry.Declined:
 		return "declined: " + x.Err.Error()
@@ -19,7 +19,7 @@
 		return fmt.Sprintf("failed with %d", x.Status)
 	case retry.Lost:
 		return "lost: " + x.Err.Error()
-	case retry.Silent:
+	case retry.FirstByteTimedOut:
 		return "silent"
 	case retry.Broken:
 		return "broken: " + x.Err.Error()
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -17,7 +17,7 @@
 }
 
 // attempted reports an attempt that was not the end of its request.
-func (g *Gateway) attempted(o *order, a *attempt, end retry.End, cmd retry.Command) {
+func (g *Gateway) attempted(o *order, a *attempt, end retry.Outcome, cmd retry.Command) {
 	if _, ok := cmd.(retry.Deliver); ok {
 		return
 	}
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -24,7 +24,7 @@
 var errShort = errors.New("the answer ended early")
 
 // plain reads the answer and passes it on once it is whole, or longer than is held.
-func (a *attempt) plain(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+func (a *attempt) plain(ctx context.Context, resp *http.Response) (retry.Outcome, Verdict) {
 	body, whole, err := readHeld(resp)
 	if err != nil {
 		return a.broken(ctx, err, false)
@@ -33,17 +33,17 @@
 	held := &answer{resp: resp, body: body}
 	if whole {
 		held.pass(a.d)
-		return retry.Answering{}, Good
+		return retry.Answered{}, Good
 	}
 	held.passHead(a.d)
 	if _, err := io.Copy(a.d.w, resp.Body); err != nil {
 		return a.broken(ctx, err, true)
 	}
-	return retry.Answering{}, Good
+	return retry.Answered{}, Good
 }
 
 // failed keeps the answer, which is passed on if there is no other attempt.
-func (a *attempt) failed(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+func (a *attempt) failed(ctx context.Context, resp *http.Response) (retry.Outcome, Verdict) {
 	body, whole, err := readHeld(resp)
 	if err != nil || !whole {
 		return a.broken(ctx, errors.Join(err, errShort), false)
@@ -91,7 +91,7 @@
 }
 
 // broken ends an attempt whose answer broke off.
-func (a *attempt) broken(ctx context.Context, err error, passed bool) (retry.End, Verdict) {
+func (a *attempt) broken(ctx context.Context, err error, passed bool) (retry.Outcome, Verdict) {
 	if ctx.Err() != nil && !passed {
 		return retry.Expired{}, Neutral
 	}
@@ -99,5 +99,5 @@
 	if ctx.Err() != nil {
 		v = Neutral
 	}
-	return retry.Broken{Err: err, Passed: passed}, v
+	return retry.Broken{Err: err, Forwarded: passed}, v
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -24,7 +24,7 @@
 
 // stream passes on whole events as they come, so that one that breaks off never
 // reaches the caller, and remembers the last.
-func (a *attempt) stream(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+func (a *attempt) stream(ctx context.Context, resp *http.Response) (retry.Outcome, Verdict) {
 	d := a.d
 	flush := http.NewResponseController(d.w)
 	buf := make([]byte, 0, 1<<10)
@@ -46,7 +46,7 @@
 		switch {
 		case errors.Is(err, io.EOF) && len(buf) == 0:
 			a.beginOnce(resp)
-			return retry.Answering{}, Good
+			return retry.Answered{}, Good
 		case errors.Is(err, io.EOF):
 			return a.broken(ctx, errShort, d.began)
 		case err != nil:
--- a/retry/course.go
+++ b/retry/course.go
@@ -30,10 +30,10 @@
 // when the box takes them for unreachable and uses others.
 const unsaid = 250 * time.Millisecond
 
-// Course is the machine of one request over its attempts. It decides whether there
+// Machine is the machine of one request over its attempts. It decides whether there
 // is another attempt and what the caller may be answered when there is none. It says
 // "not run" only if every attempt is proved not to have run.
-type Course struct {
+type Machine struct {
 	rules    Rules
 	purse    Budget
 	sent     int // attempts that reached a target
@@ -45,23 +45,23 @@
 	lastFail *fault.Error
 }
 
-// NewCourse returns the machine of a request that arrived now.
-func NewCourse(r Rules, p Budget) *Course { return &Course{rules: r, purse: p} }
+// NewMachine returns the machine of a request that arrived now.
+func NewMachine(r Rules, p Budget) *Machine { return &Machine{rules: r, purse: p} }
 
 // Reasons are why further attempts were made, oldest first.
-func (c *Course) Reasons() []fault.Kind { return c.reasons }
+func (c *Machine) Reasons() []fault.Kind { return c.reasons }
 
 // Attempts is how many attempts reached a target.
-func (c *Course) Attempts() int { return c.sent }
+func (c *Machine) Attempts() int { return c.sent }
 
 // Start gives the first command.
-func (c *Course) Start(now time.Time) Command {
+func (c *Machine) Start(now time.Time) Command {
 	c.purse.AddRequest(now)
 	return c.try(now, false)
 }
 
 // NoTarget takes that there was no target to send to.
-func (c *Course) NoTarget(now time.Time, err *fault.Error) Command {
+func (c *Machine) NoTarget(now time.Time, err *fault.Error) Command {
 	if c.lastFail != nil {
 		err = c.lastFail
 	}
@@ -70,17 +70,17 @@
 
 // Barred takes that the request must not be sent to any target now. What may have run
 // already stays so.
-func (c *Course) Barred(now time.Time, err *fault.Error) Command { return c.giveUp(now, err) }
+func (c *Machine) Barred(now time.Time, err *fault.Error) Command { return c.giveUp(now, err) }
 
 // Ended takes the end of the current attempt.
-func (c *Course) Ended(now time.Time, e End) Command {
-	if _, missed := e.(Unreached); !missed {
+func (c *Machine) Ended(now time.Time, e Outcome) Command {
+	if _, missed := e.(NotSent); !missed {
 		c.sent++
 	}
 	switch e := e.(type) {
-	case Answering:
+	case Answered:
 		return Deliver{}
-	case Unreached:
+	case NotSent:
 		return c.unreached(now, e)
 	case Declined:
 		return c.another(now, e.Err, c.passed)
@@ -88,7 +88,7 @@
 		return c.failed(now)
 	case Lost:
 		return c.lost(now, fault.New(fault.FateUnknown, "%v", e.Err))
-	case Silent:
+	case FirstByteTimedOut:
 		return c.lost(now, fault.New(fault.FateUnknown, "the answer did not begin in time"))
 	case Broken:
 		return c.broken(now, e)
@@ -101,7 +101,7 @@
 	}
 }
 
-func (c *Course) try(now time.Time, resume bool) Command {
+func (c *Machine) try(now time.Time, resume bool) Command {
 	if !now.Before(c.rules.Deadline) {
 		return c.expired(now)
 	}
@@ -114,7 +114,7 @@
 	return t
 }
 
-func (c *Course) unreached(now time.Time, e Unreached) Command {
+func (c *Machine) unreached(now time.Time, e NotSent) Command {
 	c.missed++
 	err := fault.New(fault.NotSent, "%v", e.Err)
 	if c.missed >= reach {
@@ -126,7 +126,7 @@
 
 // failed repeats a request that may run again; else the target's answer stands,
 // unless the caller already has the beginning of another.
-func (c *Course) failed(now time.Time) Command {
+func (c *Machine) failed(now time.Time) Command {
 	c.ran = true
 	if c.passed {
 		return c.another(now, fault.New(fault.TargetFailed, "the target that was to go on failed"), true)
@@ -138,7 +138,7 @@
 	return Deliver{}
 }
 
-func (c *Course) lost(now time.Time, err *fault.Error) Command {
+func (c *Machine) lost(now time.Time, err *fault.Error) Command {
 	c.ran = true
 	if !c.rules.Repeat {
 		return c.giveUp(now, err)
@@ -146,9 +146,9 @@
 	return c.another(now, err, c.passed)
 }
 
-func (c *Course) broken(now time.Time, e Broken) Command {
+func (c *Machine) broken(now time.Time, e Broken) Command {
 	c.ran = true
-	c.passed = c.passed || e.Passed
+	c.passed = c.passed || e.Forwarded
 	err := fault.New(fault.Interrupted, "%v", e.Err)
 	if c.passed && !c.rules.Resume || !c.rules.Repeat {
 		return c.giveUp(now, err)
@@ -157,7 +157,7 @@
 }
 
 // moved goes on at another target.
-func (c *Course) moved(now time.Time) Command {
+func (c *Machine) moved(now time.Time) Command {
 	c.ran, c.passed = true, true
 	c.lastFail = fault.New(fault.Interrupted, "the answer was to go on at another target")
 	c.reasons = append(c.reasons, fault.Interrupted)
@@ -165,7 +165,7 @@
 }
 
 // another sends one more attempt if the route and the budget allow it.
-func (c *Course) another(now time.Time, cause *fault.Error, resume bool) Command {
+func (c *Machine) another(now time.Time, cause *fault.Error, resume bool) Command {
 	if cause.When().After(c.again) {
 		c.again = cause.When()
 	}
@@ -177,11 +177,11 @@
 	return c.try(now, resume)
 }
 
-func (c *Course) affords(now time.Time) bool {
+func (c *Machine) affords(now time.Time) bool {
 	return c.sent < c.rules.Attempts && now.Before(c.rules.Deadline) && c.purse.SpendRetry(now)
 }
 
-func (c *Course) expired(now time.Time) Command {
+func (c *Machine) expired(now time.Time) Command {
 	if c.sent == 0 {
 		return c.giveUp(now, fault.New(fault.DeadlineUnmeetable, "no target took the request before its deadline"))
 	}
@@ -190,7 +190,7 @@
 
 // giveUp ends the request. After an attempt that may have run, no kind that claims
 // "not run" is given.
-func (c *Course) giveUp(now time.Time, err *fault.Error) Command {
+func (c *Machine) giveUp(now time.Time, err *fault.Error) Command {
 	if c.passed {
 		return Abort{Err: err}
 	}
--- a/retry/course_test.go
+++ b/retry/course_test.go
@@ -66,45 +66,45 @@
 }
 
 func TestCourses(t *testing.T) {
-	passed := retry.Broken{Err: errLost, Passed: true}
+	passed := retry.Broken{Err: errLost, Forwarded: true}
 	unpassed := retry.Broken{Err: errLost}
 	tests := []struct {
 		name  string
 		kind  int
 		coins int
-		ends  []retry.End
+		ends  []retry.Outcome
 		want  []string // the command after each end
 	}{
-		{"answered", once, 0, []retry.End{retry.Answering{}}, []string{"deliver"}},
-		{"lost, once only", once, 9, []retry.End{retry.Lost{Err: errLost}}, []string{"refuse fate_unknown"}},
-		{"declined, once only", once, 9, []retry.End{declined, declined}, []string{"try", "refuse overloaded"}},
-		{"declined, then lost, once only", once, 9, []retry.End{declined, retry.Lost{Err: errLost}}, []string{"try", "refuse fate_unknown"}},
-		{"broken, once only", once, 9, []retry.End{unpassed}, []string{"refuse interrupted"}},
-		{"broken and passed, once only", once, 9, []retry.End{passed}, []string{"abort interrupted"}},
-		{"failed, once only", once, 9, []retry.End{retry.Failed{Status: 500}}, []string{"deliver"}},
-		{"never reached", once, 0, []retry.End{retry.Unreached{Err: errLost}, retry.Unreached{Err: errLost}, retry.Unreached{Err: errLost}},
+		{"answered", once, 0, []retry.Outcome{retry.Answered{}}, []string{"deliver"}},
+		{"lost, once only", once, 9, []retry.Outcome{retry.Lost{Err: errLost}}, []string{"refuse fate_unknown"}},
+		{"declined, once only", once, 9, []retry.Outcome{declined, declined}, []string{"try", "refuse overloaded"}},
+		{"declined, then lost, once only", once, 9, []retry.Outcome{declined, retry.Lost{Err: errLost}}, []string{"try", "refuse fate_unknown"}},
+		{"broken, once only", once, 9, []retry.Outcome{unpassed}, []string{"refuse interrupted"}},
+		{"broken and passed, once only", once, 9, []retry.Outcome{passed}, []string{"abort interrupted"}},
+		{"failed, once only", once, 9, []retry.Outcome{retry.Failed{Status: 500}}, []string{"deliver"}},
+		{"never reached", once, 0, []retry.Outcome{retry.NotSent{Err: errLost}, retry.NotSent{Err: errLost}, retry.NotSent{Err: errLost}},
 			[]string{"try", "try", "refuse not_sent"}},
-		{"lost and repeated", repeat, 1, []retry.End{retry.Lost{Err: errLost}, retry.Answering{}}, []string{"try", "deliver"}},
-		{"lost without budget", repeat, 0, []retry.End{retry.Lost{Err: errLost}}, []string{"refuse fate_unknown"}},
-		{"lost, then declined", repeat, 9, []retry.End{retry.Lost{Err: errLost}, declined}, []string{"try", "refuse fate_unknown"}},
-		{"moved and paid for", resume, 0, []retry.End{retry.Moved{}, retry.Answering{}}, []string{"resume", "deliver"}},
-		{"moved and cut again", resume, 9, []retry.End{retry.Moved{}, retry.Broken{Err: errLost, Passed: true}}, []string{"resume", "abort interrupted"}},
-		{"silent and repeated", repeat, 1, []retry.End{retry.Silent{}, retry.Answering{}}, []string{"try", "deliver"}},
-		{"failed and repeated", repeat, 1, []retry.End{retry.Failed{Status: 500}, retry.Failed{Status: 500}}, []string{"try", "deliver"}},
-		{"failed without budget", repeat, 0, []retry.End{retry.Failed{Status: 500}}, []string{"deliver"}},
-		{"broken before anything passed", resume, 1, []retry.End{unpassed, retry.Answering{}}, []string{"try", "deliver"}},
-		{"broken and resumed", resume, 1, []retry.End{passed, retry.Answering{}}, []string{"resume", "deliver"}},
-		{"broken, not to be resumed", repeat, 9, []retry.End{passed}, []string{"abort interrupted"}},
-		{"broken twice", resume, 9, []retry.End{passed, passed}, []string{"resume", "abort interrupted"}},
-		{"resumed at a target that declines", resume, 9, []retry.End{passed, declined}, []string{"resume", "abort overloaded"}},
-		{"resumed at a target that fails", resume, 9, []retry.End{passed, retry.Failed{Status: 500}}, []string{"resume", "abort target_failed"}},
-		{"resumed at a target out of reach", resume, 9, []retry.End{passed, retry.Unreached{Err: errLost}}, []string{"resume", "resume"}},
-		{"expired on the way", once, 0, []retry.End{retry.Expired{}}, []string{"refuse timed_out"}},
-		{"expired after a part", resume, 9, []retry.End{passed, retry.Expired{}}, []string{"resume", "abort timed_out"}},
+		{"lost and repeated", repeat, 1, []retry.Outcome{retry.Lost{Err: errLost}, retry.Answered{}}, []string{"try", "deliver"}},
+		{"lost without budget", repeat, 0, []retry.Outcome{retry.Lost{Err: errLost}}, []string{"refuse fate_unknown"}},
+		{"lost, then declined", repeat, 9, []retry.Outcome{retry.Lost{Err: errLost}, declined}, []string{"try", "refuse fate_unknown"}},
+		{"moved and paid for", resume, 0, []retry.Outcome{retry.Moved{}, retry.Answered{}}, []string{"resume", "deliver"}},
+		{"moved and cut again", resume, 9, []retry.Outcome{retry.Moved{}, retry.Broken{Err: errLost, Forwarded: true}}, []string{"resume", "abort interrupted"}},
+		{"silent and repeated", repeat, 1, []retry.Outcome{retry.FirstByteTimedOut{}, retry.Answered{}}, []string{"try", "deliver"}},
+		{"failed and repeated", repeat, 1, []retry.Outcome{retry.Failed{Status: 500}, retry.Failed{Status: 500}}, []string{"try", "deliver"}},
+		{"failed without budget", repeat, 0, []retry.Outcome{retry.Failed{Status: 500}}, []string{"deliver"}},
+		{"broken before anything passed", resume, 1, []retry.Outcome{unpassed, retry.Answered{}}, []string{"try", "deliver"}},
+		{"broken and resumed", resume, 1, []retry.Outcome{passed, retry.Answered{}}, []string{"resume", "deliver"}},
+		{"broken, not to be resumed", repeat, 9, []retry.Outcome{passed}, []string{"abort interrupted"}},
+		{"broken twice", resume, 9, []retry.Outcome{passed, passed}, []string{"resume", "abort interrupted"}},
+		{"resumed at a target that declines", resume, 9, []retry.Outcome{passed, declined}, []string{"resume", "abort overloaded"}},
+		{"resumed at a target that fails", resume, 9, []retry.Outcome{passed, retry.Failed{Status: 500}}, []string{"resume", "abort target_failed"}},
+		{"resumed at a target out of reach", resume, 9, []retry.Outcome{passed, retry.NotSent{Err: errLost}}, []string{"resume", "resume"}},
+		{"expired on the way", once, 0, []retry.Outcome{retry.Expired{}}, []string{"refuse timed_out"}},
+		{"expired after a part", resume, 9, []retry.Outcome{passed, retry.Expired{}}, []string{"resume", "abort timed_out"}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			c := retry.NewCourse(rules(tc.kind), &coins{left: tc.coins})
+			c := retry.NewMachine(rules(tc.kind), &coins{left: tc.coins})
 			if got := words(c.Start(begin)); got != "try" {
 				t.Fatalf("starts with %s", got)
 			}
@@ -118,11 +118,11 @@
 }
 
 func TestNothingIsTriedAfterTheDeadline(t *testing.T) {
-	c := retry.NewCourse(rules(repeat), &coins{left: 9})
+	c := retry.NewMachine(rules(repeat), &coins{left: 9})
 	if got := words(c.Start(begin.Add(9 * time.Second))); got != "refuse deadline_unmeetable" {
 		t.Errorf("got %s", got)
 	}
-	c = retry.NewCourse(rules(repeat), &coins{left: 9})
+	c = retry.NewMachine(rules(repeat), &coins{left: 9})
 	c.Start(begin)
 	if got := words(c.Ended(begin.Add(9*time.Second), retry.Lost{Err: errLost})); got != "refuse fate_unknown" {
 		t.Errorf("got %s", got)
@@ -141,7 +141,7 @@
 		{"once only", once, true, false},
 	}
 	for _, tc := range tests {
-		c := retry.NewCourse(rules(tc.kind), &coins{left: 9})
+		c := retry.NewMachine(rules(tc.kind), &coins{left: 9})
 		cmd := c.Start(begin)
 		if !tc.first {
 			cmd = c.Ended(begin, retry.Lost{Err: errLost})
@@ -154,7 +154,7 @@
 
 func TestARefusalCarriesWhenToComeBack(t *testing.T) {
 	at := begin.Add(3 * time.Second)
-	c := retry.NewCourse(rules(once), &coins{})
+	c := retry.NewMachine(rules(once), &coins{})
 	c.Start(begin)
 	cmd := c.Ended(begin, retry.Declined{Err: fault.New(fault.Overloaded, "busy").RetryAt(at)})
 	if got := cmd.(retry.Refuse).Err.When(); !got.Equal(at) {
@@ -165,13 +165,13 @@
 // TestWhoIsTurnedAwayIsToldWhenToComeBack: whatever nobody ran, also where no target could be
 // reached, none of which states when.
 func TestWhoIsTurnedAwayIsToldWhenToComeBack(t *testing.T) {
-	unreached := retry.Unreached{Err: errLost}
-	for name, ends := range map[string][]retry.End{
+	unreached := retry.NotSent{Err: errLost}
+	for name, ends := range map[string][]retry.Outcome{
 		"no target could be reached": {unreached, unreached, unreached},
 		"a target declined":          {declined, declined},
 		"the time is over":           {retry.Expired{}},
 	} {
-		c := retry.NewCourse(rules(once), &coins{left: 9})
+		c := retry.NewMachine(rules(once), &coins{left: 9})
 		cmd := c.Start(begin)
 		for _, e := range ends {
 			cmd = c.Ended(begin, e)
@@ -191,7 +191,7 @@
 		kind := rapid.IntRange(once, resume).Draw(rt, "kind")
 		r := rules(kind)
 		r.Attempts = rapid.IntRange(1, 4).Draw(rt, "attempts")
-		c := retry.NewCourse(r, &coins{left: rapid.IntRange(0, 5).Draw(rt, "coins")})
+		c := retry.NewMachine(r, &coins{left: rapid.IntRange(0, 5).Draw(rt, "coins")})
 		now := begin
 		cmd := c.Start(now)
 		mayHaveRun, reached := 0, 0
@@ -200,13 +200,13 @@
 				break
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * time.Millisecond)
-			ends := []retry.End{
-				retry.Answering{}, retry.Unreached{Err: errLost}, declined, retry.Failed{Status: 500},
-				retry.Lost{Err: errLost}, retry.Silent{}, retry.Broken{Err: errLost}, retry.Broken{Err: errLost, Passed: true}, retry.Expired{},
+			ends := []retry.Outcome{
+				retry.Answered{}, retry.NotSent{Err: errLost}, declined, retry.Failed{Status: 500},
+				retry.Lost{Err: errLost}, retry.FirstByteTimedOut{}, retry.Broken{Err: errLost}, retry.Broken{Err: errLost, Forwarded: true}, retry.Expired{},
 			}
 			e := rapid.SampledFrom(ends).Draw(rt, "end")
 			switch e.(type) {
-			case retry.Unreached:
+			case retry.NotSent:
 			case retry.Declined:
 				reached++
 			default:
@@ -235,23 +235,23 @@
 // sent again from its beginning, nor end as if nothing had been said.
 func TestWhatWasCutShortIsNotForgotten(t *testing.T) {
 	for name, tc := range map[string]struct {
-		end  retry.End
+		end  retry.Outcome
 		want string // what follows for a request that may repeat and resume
 	}{
 		"nothing came":          {retry.Lost{Err: errLost}, "try"},
 		"a head came":           {retry.Broken{Err: errLost}, "try"},
-		"events were passed on": {retry.Broken{Err: errLost, Passed: true}, "resume"},
-		"all of it came":        {retry.Answering{}, "deliver"},
+		"events were passed on": {retry.Broken{Err: errLost, Forwarded: true}, "resume"},
+		"all of it came":        {retry.Answered{}, "deliver"},
 	} {
-		c := retry.NewCourse(rules(resume), &coins{left: 1})
+		c := retry.NewMachine(rules(resume), &coins{left: 1})
 		c.Start(begin)
-		if got := words(c.Ended(begin.Add(time.Second), retry.CutShort(tc.end))); got != tc.want {
+		if got := words(c.Ended(begin.Add(time.Second), retry.ResolveTimeout(tc.end))); got != tc.want {
 			t.Errorf("%s: %s, want %s", name, got, tc.want)
 		}
 	}
-	c := retry.NewCourse(rules(repeat), &coins{left: 1})
+	c := retry.NewMachine(rules(repeat), &coins{left: 1})
 	c.Start(begin)
-	got := words(c.Ended(begin.Add(time.Second), retry.CutShort(retry.Broken{Err: errLost, Passed: true})))
+	got := words(c.Ended(begin.Add(time.Second), retry.ResolveTimeout(retry.Broken{Err: errLost, Forwarded: true})))
 	if !strings.HasPrefix(got, "abort") {
 		t.Errorf("an answer that cannot be taken up: %s", got)
 	}
@@ -261,17 +261,17 @@
 // nobody reports it; and what the caller has a part of is broken off.
 func TestBarredWorkEndsAsItStands(t *testing.T) {
 	for name, tc := range map[string]struct {
-		ends []retry.End
+		ends []retry.Outcome
 		want string
 	}{
 		"before any attempt":   {nil, "refuse quarantined"},
-		"after one declined":   {[]retry.End{declined}, "refuse quarantined"},
-		"after one was lost":   {[]retry.End{retry.Lost{Err: errLost}}, "refuse fate_unknown"},
-		"after a part of it":   {[]retry.End{retry.Broken{Err: errLost, Passed: true}}, "abort quarantined"},
-		"after one unreached":  {[]retry.End{retry.Unreached{Err: errLost}}, "refuse quarantined"},
-		"after one that broke": {[]retry.End{retry.Broken{Err: errLost}}, "refuse fate_unknown"},
+		"after one declined":   {[]retry.Outcome{declined}, "refuse quarantined"},
+		"after one was lost":   {[]retry.Outcome{retry.Lost{Err: errLost}}, "refuse fate_unknown"},
+		"after a part of it":   {[]retry.Outcome{retry.Broken{Err: errLost, Forwarded: true}}, "abort quarantined"},
+		"after one unreached":  {[]retry.Outcome{retry.NotSent{Err: errLost}}, "refuse quarantined"},
+		"after one that broke": {[]retry.Outcome{retry.Broken{Err: errLost}}, "refuse fate_unknown"},
 	} {
-		c := retry.NewCourse(rules(resume), &coins{left: 9})
+		c := retry.NewMachine(rules(resume), &coins{left: 9})
 		c.Start(begin)
 		for _, e := range tc.ends {
 			c.Ended(begin, e)
