--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -38,8 +38,8 @@
 func (a *attempt) run(caller context.Context) retry.Outcome {
 	ctx, cancel := context.WithCancelCause(caller)
 	defer cancel(nil)
-	if !a.try.Patience.IsZero() {
-		a.impatience = clock.AfterFunc(a.try.Patience, func() { cancel(errImpatient) })
+	if !a.try.FirstByteDeadline.IsZero() {
+		a.impatience = clock.AfterFunc(a.try.FirstByteDeadline, func() { cancel(errImpatient) })
 		defer a.impatience.Stop()
 	}
 	if aim := a.d.o.route.Aim(); aim > 0 {
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -48,8 +48,8 @@
 	defer cancel()
 	d := &delivery{g: g, o: o, w: w, after: o.After(), purse: g.parts.Purse(o.service)}
 	rules := retry.Rules{
-		Repeat: o.route.MayRepeat(), Resume: o.route.MayResume(), Attempts: o.route.Attempts(),
-		Deadline: o.deadline, Patience: patienceAims * o.route.Aim(),
+		Repeat: o.route.MayRepeat(), Resume: o.route.MayResume(), MaxAttempts: o.route.Attempts(),
+		Deadline: o.deadline, FirstByteTimeout: patienceAims * o.route.Aim(),
 	}
 	d.course = retry.NewMachine(rules, d.purse)
 	for cmd := d.course.Start(o.arrived); ; {
--- a/retry/command.go
+++ b/retry/command.go
@@ -16,9 +16,9 @@
 	Attempt int
 	// Resume tells to ask for what follows the last event that the caller has.
 	Resume bool
-	// Patience is when to give the attempt up if its answer has not begun; zero for
+	// FirstByteDeadline is when to give the attempt up if its answer has not begun; zero for
 	// never before the deadline.
-	Patience time.Time
+	FirstByteDeadline time.Time
 	// Movable reports that the answer, once the caller has a part of it, may be taken up at
 	// another target while this one still gives it.
 	Movable bool
--- a/retry/course.go
+++ b/retry/course.go
@@ -12,13 +12,13 @@
 	Repeat bool
 	// Resume reports that a broken stream may be taken up by another target.
 	Resume bool
-	// Attempts is how many targets the request may be sent to.
-	Attempts int
+	// MaxAttempts is how many targets the request may be sent to.
+	MaxAttempts int
 	// Deadline is when the caller must have its final answer.
 	Deadline time.Time
-	// Patience is how long an attempt may stay without a beginning of its answer
+	// FirstByteTimeout is how long an attempt may stay without a beginning of its answer
 	// before another is tried in its place; 0 is until the deadline.
-	Patience time.Duration
+	FirstByteTimeout time.Duration
 }
 
 // reach is how often a request looks for another target after one that it could
@@ -106,9 +106,9 @@
 		return c.expired(now)
 	}
 	t := Try{Attempt: c.sent + c.missed + 1, Resume: resume}
-	replaceable := c.rules.Repeat && c.sent+1 < c.rules.Attempts
-	if c.rules.Patience > 0 && replaceable {
-		t.Patience = now.Add(c.rules.Patience)
+	replaceable := c.rules.Repeat && c.sent+1 < c.rules.MaxAttempts
+	if c.rules.FirstByteTimeout > 0 && replaceable {
+		t.FirstByteDeadline = now.Add(c.rules.FirstByteTimeout)
 	}
 	t.Movable = replaceable && c.rules.Resume
 	return t
@@ -178,7 +178,7 @@
 }
 
 func (c *Machine) affords(now time.Time) bool {
-	return c.sent < c.rules.Attempts && now.Before(c.rules.Deadline) && c.purse.SpendRetry(now)
+	return c.sent < c.rules.MaxAttempts && now.Before(c.rules.Deadline) && c.purse.SpendRetry(now)
 }
 
 func (c *Machine) expired(now time.Time) Command {
--- a/retry/course_test.go
+++ b/retry/course_test.go
@@ -39,8 +39,8 @@
 
 func rules(kind int) retry.Rules {
 	return retry.Rules{
-		Repeat: kind != once, Resume: kind == resume, Attempts: 2,
-		Deadline: begin.Add(8 * time.Second), Patience: time.Second,
+		Repeat: kind != once, Resume: kind == resume, MaxAttempts: 2,
+		Deadline: begin.Add(8 * time.Second), FirstByteTimeout: time.Second,
 	}
 }
 
@@ -146,7 +146,7 @@
 		if !tc.first {
 			cmd = c.Ended(begin, retry.Lost{Err: errLost})
 		}
-		if p := cmd.(retry.Try).Patience; p.IsZero() == tc.want {
+		if p := cmd.(retry.Try).FirstByteDeadline; p.IsZero() == tc.want {
 			t.Errorf("%s: patience until %v", tc.name, p)
 		}
 	}
@@ -190,7 +190,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		kind := rapid.IntRange(once, resume).Draw(rt, "kind")
 		r := rules(kind)
-		r.Attempts = rapid.IntRange(1, 4).Draw(rt, "attempts")
+		r.MaxAttempts = rapid.IntRange(1, 4).Draw(rt, "attempts")
 		c := retry.NewMachine(r, &coins{left: rapid.IntRange(0, 5).Draw(rt, "coins")})
 		now := begin
 		cmd := c.Start(now)
@@ -224,8 +224,8 @@
 		if kind == once && mayHaveRun > 1 {
 			rt.Fatalf("%d attempts may have run of a request that may run once", mayHaveRun)
 		}
-		if reached > r.Attempts {
-			rt.Fatalf("%d attempts reached a target, %d are allowed", reached, r.Attempts)
+		if reached > r.MaxAttempts {
+			rt.Fatalf("%d attempts reached a target, %d are allowed", reached, r.MaxAttempts)
 		}
 	})
 }
