--- a/admission/gate.go
+++ b/admission/gate.go
@@ -13,14 +13,14 @@
 	longest map[string]time.Duration // by route: the most time that a caller had
 }
 
-// Ask is what a Gate goes by.
-type Ask struct {
+// Request is what a Gate goes by.
+type Request struct {
 	Route string
-	Left  time.Duration // that the caller has
-	Aim   time.Duration // within which the answer must begin to be in time; 0 for none
-	// Begins is after how long an answer is expected to begin, Wait how much of it the
+	Remaining  time.Duration // that the caller has
+	FirstByteSLO   time.Duration // within which the answer must begin to be in time; 0 for none
+	// FirstByte is after how long an answer is expected to begin, Wait how much of it the
 	// request would wait for a slot.
-	Begins, Wait time.Duration
+	FirstByte, Wait time.Duration
 }
 
 const (
@@ -48,53 +48,53 @@
 // Admit reports whether the request is sent on; if not, after how long its caller
 // should come back. spread is from 0 up to 1 and keeps callers that were refused
 // together from coming back together.
-func (g *Gate) Admit(a Ask, spread float64) (bool, time.Duration) {
+func (g *Gate) Admit(a Request, spread float64) (bool, time.Duration) {
 	again := g.returned(a)
-	if a.Aim == 0 || a.Wait == 0 {
+	if a.FirstByteSLO == 0 || a.Wait == 0 {
 		return true, 0
 	}
-	room := a.Aim - (a.Begins - a.Wait)
+	room := a.FirstByteSLO - (a.FirstByte - a.Wait)
 	if !again {
 		room = time.Duration(float64(room) * firstShare)
 	}
 	if a.Wait <= room {
 		return true, 0
 	}
-	return false, Rest(a.Left, spread)
+	return false, RetryAfterOverload(a.Remaining, spread)
 }
 
-// Rest is after how long a refused caller should come back where there is no room: spread
+// RetryAfterOverload is after how long a refused caller should come back where there is no room: spread
 // over the latter half of the time that it heeds, so that callers that came together find
 // the room that comes.
-func Rest(left time.Duration, spread float64) time.Duration {
+func RetryAfterOverload(left time.Duration, spread float64) time.Duration {
 	return later(left, spread, restSpread)
 }
 
-// Outlast is after how long a caller should come back where nobody serves: as late as it
+// RetryAfterOutage is after how long a caller should come back where nobody serves: as late as it
 // heeds. It comes back once, nobody knows when service returns, and the longer it waits
 // the likelier it is served.
-func Outlast(left time.Duration, spread float64) time.Duration {
+func RetryAfterOutage(left time.Duration, spread float64) time.Duration {
 	return later(left, spread, outlastSpread)
 }
 
-// Reopens is after how long a caller should come back where no target takes requests: as the first
+// RetryAfterReopening is after how long a caller should come back where no target takes requests: as the first
 // does again, if that is known and not later than the caller heeds, else as late as it heeds. in is
 // until then, and 0 if nobody knows.
-func Reopens(in, left time.Duration, spread float64) time.Duration {
-	last := Outlast(left, spread)
+func RetryAfterReopening(in, left time.Duration, spread float64) time.Duration {
+	last := RetryAfterOutage(left, spread)
 	if in <= 0 || in > last {
 		return last
 	}
 	return in + time.Duration(spread*float64(reopenSpread))
 }
 
-// Between is after how long a refused caller should come back where room comes bit by bit from a
+// RetryAfterPermits is after how long a refused caller should come back where room comes bit by bit from a
 // time on: anywhere between that and as late as it heeds, so that callers come as the room does.
-func Between(from, left time.Duration, spread float64) time.Duration {
+func RetryAfterPermits(from, left time.Duration, spread float64) time.Duration {
 	from = max(from, leastRest)
 	most := time.Duration(float64(left) * heed)
 	if from >= most {
-		return Outlast(left, spread)
+		return RetryAfterOutage(left, spread)
 	}
 	return from + time.Duration(float64(most-from)*spread)
 }
@@ -106,11 +106,11 @@
 }
 
 // returned distinguishes a caller that came before by the time that it has left.
-func (g *Gate) returned(a Ask) bool {
-	if a.Left > g.longest[a.Route] {
-		g.longest[a.Route] = a.Left
+func (g *Gate) returned(a Request) bool {
+	if a.Remaining > g.longest[a.Route] {
+		g.longest[a.Route] = a.Remaining
 	}
-	return float64(a.Left) < cameBack*float64(g.longest[a.Route])
+	return float64(a.Remaining) < cameBack*float64(g.longest[a.Route])
 }
 
 // Forget drops what is known of routes, as when the configuration changes.
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -13,14 +13,14 @@
 	first = 200 * time.Millisecond // until an answer begins without waiting
 )
 
-func ask(left, wait time.Duration) admission.Ask {
-	return admission.Ask{Route: "r", Left: left, Aim: aim, Begins: first + wait, Wait: wait}
+func ask(left, wait time.Duration) admission.Request {
+	return admission.Request{Route: "r", Remaining: left, FirstByteSLO: aim, FirstByte: first + wait, Wait: wait}
 }
 
 func TestGateAdmitsWhatCanBeInTime(t *testing.T) {
 	tests := []struct {
 		name string
-		ask  admission.Ask
+		ask  admission.Request
 		want bool
 	}{
 		{"no wait", ask(whole, 0), true},
@@ -28,8 +28,8 @@
 		{"a wait that leaves nothing to others", ask(whole, 150*time.Millisecond), false},
 		{"the same for one that came back", ask(5*time.Second, 150*time.Millisecond), true},
 		{"too long for anyone", ask(5*time.Second, 250*time.Millisecond), false},
-		{"no aim", admission.Ask{Route: "r", Left: whole, Begins: time.Hour, Wait: time.Hour}, true},
-		{"late without waiting", admission.Ask{Route: "r", Left: whole, Aim: aim, Begins: time.Second}, true},
+		{"no aim", admission.Request{Route: "r", Remaining: whole, FirstByte: time.Hour, Wait: time.Hour}, true},
+		{"late without waiting", admission.Request{Route: "r", Remaining: whole, FirstByteSLO: aim, FirstByte: time.Second}, true},
 	}
 	for _, tc := range tests {
 		g := admission.NewGate()
@@ -48,7 +48,7 @@
 			t.Errorf("spread %v: admitted %v, back after %v", spread, ok, rest)
 		}
 	}
-	if rest := admission.Rest(10*time.Millisecond, 0); rest < 50*time.Millisecond {
+	if rest := admission.RetryAfterOverload(10*time.Millisecond, 0); rest < 50*time.Millisecond {
 		t.Errorf("back after %v: that is at once", rest)
 	}
 }
@@ -77,12 +77,12 @@
 		}
 		return n
 	}
-	spread, late := served(admission.Rest), served(admission.Outlast)
+	spread, late := served(admission.RetryAfterOverload), served(admission.RetryAfterOutage)
 	if gain := float64(late-spread) / (down.Seconds() * perSecond); gain < 0.08 {
 		t.Errorf("%d are served as they come back spread, %d as late as they heed: %.3f of all", spread, late, gain)
 	}
 	for _, chance := range []float64{0, 0.99} {
-		if rest := admission.Outlast(whole, chance); rest > whole/3 || rest < whole*31/100 {
+		if rest := admission.RetryAfterOutage(whole, chance); rest > whole/3 || rest < whole*31/100 {
 			t.Errorf("back after %v of %v", rest, whole)
 		}
 	}
@@ -101,7 +101,7 @@
 		{"later than they heed", 4 * time.Second, most * 9 / 10, most},
 	} {
 		for _, spread := range []float64{0, 0.5, 0.99} {
-			if rest := admission.Reopens(tc.in, left, spread); rest < tc.lo || rest > tc.hi {
+			if rest := admission.RetryAfterReopening(tc.in, left, spread); rest < tc.lo || rest > tc.hi {
 				t.Errorf("%s, spread %v: back after %v", tc.name, spread, rest)
 			}
 		}
@@ -114,7 +114,7 @@
 	for _, tc := range []struct{ from, first time.Duration }{
 		{-time.Second, 100 * time.Millisecond}, {time.Second, time.Second}, {5 * time.Second, most * 9 / 10},
 	} {
-		lo, mid, hi := admission.Between(tc.from, left, 0), admission.Between(tc.from, left, 0.5), admission.Between(tc.from, left, 1)
+		lo, mid, hi := admission.RetryAfterPermits(tc.from, left, 0), admission.RetryAfterPermits(tc.from, left, 0.5), admission.RetryAfterPermits(tc.from, left, 1)
 		if lo < tc.first || hi > most || mid-lo != hi-mid {
 			t.Errorf("from %v: between %v and %v, with %v in the middle", tc.from, lo, hi, mid)
 		}
--- a/node/choosing.go
+++ b/node/choosing.go
@@ -82,7 +82,7 @@
 	case len(options) == 0:
 		return chosen, fault.New(fault.NoTarget, "service %s has no target that takes requests", q.Service).RetryAt(f.again(now, q))
 	default:
-		at := now.Add(admission.Between(f.turn(options).Sub(now), q.Deadline.Sub(now), rand.Float64()))
+		at := now.Add(admission.RetryAfterPermits(f.turn(options).Sub(now), q.Deadline.Sub(now), rand.Float64()))
 		return chosen, fault.New(fault.Overloaded, "the %d targets of service %s that take requests have had what they take", len(options), q.Service).RetryAt(at)
 	}
 }
@@ -123,7 +123,7 @@
 // admit refuses a request that would wait too long for a slot; mu is held.
 func (f *fleet) admit(now time.Time, q gateway.Query, o routing.Option) error {
 	begins, wait := f.balancer.EstimateFirstByte(now, o)
-	ask := admission.Ask{Route: q.Route, Left: q.Deadline.Sub(now), Aim: q.Aim, Begins: begins, Wait: wait}
+	ask := admission.Request{Route: q.Route, Remaining: q.Deadline.Sub(now), FirstByteSLO: q.Aim, FirstByte: begins, Wait: wait}
 	ok, rest := f.gate.Admit(ask, rand.Float64())
 	if ok || !q.First {
 		return nil
@@ -138,7 +138,7 @@
 	if rested := f.roster.RestsUntil(now, q.Service); !rested.IsZero() {
 		in = rested.Sub(now)
 	}
-	return now.Add(admission.Reopens(in, q.Deadline.Sub(now), rand.Float64()))
+	return now.Add(admission.RetryAfterReopening(in, q.Deadline.Sub(now), rand.Float64()))
 }
 
 // TakesAt implements gateway.Fleet.
