--- a/node/limiting.go
+++ b/node/limiting.go
@@ -72,10 +72,10 @@
 	case ratelimit.Local:
 		g = l.issue(now, svc, reports)
 	case ratelimit.Remote:
-		g = l.ask(ctx, svc, issuer, reports, w.Ahead)
+		g = l.ask(ctx, svc, issuer, reports, w.Prefetch)
 	case ratelimit.Fallback:
 		g, source = l.own(now, svc, reports), "own part"
-		if w.Again != "" {
+		if w.Probe != "" {
 			l.ask(ctx, svc, issuer, nil, true) // it only finds out whether the issuer answers
 		}
 	case ratelimit.Pending: // there is none now
@@ -96,10 +96,10 @@
 	way := l.allocator.Source(now, svc, issuer.Box)
 	switch w := way.(type) {
 	case ratelimit.Remote:
-		l.allocator.Asked(issuer.Box)
+		l.allocator.RequestSent(issuer.Box)
 	case ratelimit.Fallback:
-		if w.Again != "" {
-			l.allocator.Asked(issuer.Box)
+		if w.Probe != "" {
+			l.allocator.RequestSent(issuer.Box)
 		}
 	}
 	return issuer, way
@@ -109,7 +109,7 @@
 func (l *limiting) is(issuer domain.BoxID, svc domain.ServiceName) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.allocator.Is(issuer, svc)
+	return l.allocator.IsIssuer(issuer, svc)
 }
 
 // question is one to an issuer, whose answer a request may wait for.
@@ -145,7 +145,7 @@
 		return // it has come just now
 	}
 	q.waited = true
-	l.allocator.Overdue(q.issuer.Box)
+	l.allocator.ReplyOverdue(q.issuer.Box)
 	q.answer <- ratelimit.Grant{}
 }
 
@@ -179,13 +179,13 @@
 func (l *limiting) note(now time.Time, q *question, r *mesh.PermitReply, err error) {
 	log := l.entry.common.Log.With("service", q.svc, "peer", q.issuer.Box, "after", now.Sub(q.asked))
 	switch {
-	case err != nil && l.allocator.Silent(now, q.issuer.Box):
+	case err != nil && l.allocator.RequestTimedOut(now, q.issuer.Box):
 		log.Warn("issuer lost", "err", err)
 		l.entry.peering.notify()
-	case err == nil && !r.Issuer && l.allocator.Declined(now, q.issuer.Box):
+	case err == nil && !r.Issuer && l.allocator.RequestDeclined(now, q.issuer.Box):
 		log.Info("box is not the issuer")
 		l.entry.peering.notify()
-	case err == nil && r.Issuer && l.allocator.Answered(q.svc, q.issuer.Box, now.Sub(q.asked) <= permitWithin):
+	case err == nil && r.Issuer && l.allocator.ReplyReceived(q.svc, q.issuer.Box, now.Sub(q.asked) <= permitWithin):
 		log.Info("issuer regained")
 	}
 }
@@ -195,7 +195,7 @@
 	heard, sharing := l.entry.peering.part(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.allocator.Issue(now, svc, wants(reports), ratelimit.Part(heard, sharing))
+	return l.allocator.Issue(now, svc, wants(reports), ratelimit.Share(heard, sharing))
 }
 
 // own hands out permits by this box's own part.
@@ -203,7 +203,7 @@
 	_, sharing := l.entry.peering.part(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.allocator.Own(now, svc, wants(reports), ratelimit.Part(1, sharing))
+	return l.allocator.IssueFallback(now, svc, wants(reports), ratelimit.Share(1, sharing))
 }
 
 // wants are the targets of the reports, with what they get a second.
@@ -253,5 +253,5 @@
 func (l *limiting) apart(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.allocator.Apart(now)
+	return l.allocator.UsesFallback(now)
 }
--- a/ratelimit/allocator.go
+++ b/ratelimit/allocator.go
@@ -31,7 +31,7 @@
 // the request does not wait for the answer, and what it brings is for those that come later.
 type Remote struct {
 	Issuer domain.BoxID
-	Ahead  bool
+	Prefetch  bool
 }
 
 // Pending means that a slow issuer is being asked already.
@@ -39,7 +39,7 @@
 
 // Fallback means that no issuer is known or answers, and that this box goes by its own part. Where Again
 // is set it is time to find out whether that issuer answers again.
-type Fallback struct{ Again domain.BoxID }
+type Fallback struct{ Probe domain.BoxID }
 
 func (Local) source()    {}
 func (Remote) source()   {}
@@ -96,7 +96,7 @@
 // Source is where permits for the service come from, whose issuer is the box; empty if none is known.
 // Where that is another box, Asked follows.
 func (d *Allocator) Source(now time.Time, svc domain.ServiceName, issuer domain.BoxID) Source {
-	here := d.Is(issuer, svc)
+	here := d.IsIssuer(issuer, svc)
 	p := d.peer(issuer)
 	switch {
 	case issuer == "":
@@ -106,11 +106,11 @@
 	case p.silent > 0 && (now.Before(p.until) || p.asking > 0):
 		return Fallback{}
 	case p.silent > 0:
-		return Fallback{Again: issuer}
+		return Fallback{Probe: issuer}
 	case p.slow && p.asking > 0:
 		return Pending{}
 	default:
-		return Remote{Issuer: issuer, Ahead: p.slow}
+		return Remote{Issuer: issuer, Prefetch: p.slow}
 	}
 }
 
@@ -123,15 +123,15 @@
 	return p
 }
 
-// Asked takes that the issuer is being asked. Answered or Silent follows.
-func (d *Allocator) Asked(issuer domain.BoxID) { d.peer(issuer).asking++ }
+// RequestSent takes that the issuer is being asked. Answered or Silent follows.
+func (d *Allocator) RequestSent(issuer domain.BoxID) { d.peer(issuer).asking++ }
 
-// Overdue takes that the issuer has not answered in the time for which requests wait.
-func (d *Allocator) Overdue(issuer domain.BoxID) { d.peer(issuer).slow = true }
+// ReplyOverdue takes that the issuer has not answered in the time for which requests wait.
+func (d *Allocator) ReplyOverdue(issuer domain.BoxID) { d.peer(issuer).slow = true }
 
-// Answered takes that the issuer of the service answered, in time for the request or not. It tells
+// ReplyReceived takes that the issuer of the service answered, in time for the request or not. It tells
 // whether it had been silent.
-func (d *Allocator) Answered(svc domain.ServiceName, issuer domain.BoxID, inTime bool) bool {
+func (d *Allocator) ReplyReceived(svc domain.ServiceName, issuer domain.BoxID, inTime bool) bool {
 	p := d.peer(issuer)
 	silent := p.silent > 0
 	p.asking--
@@ -140,8 +140,8 @@
 	return silent
 }
 
-// Declined takes that the box answered that it is not the issuer. It reports whether that was news.
-func (d *Allocator) Declined(now time.Time, issuer domain.BoxID) bool {
+// RequestDeclined takes that the box answered that it is not the issuer. It reports whether that was news.
+func (d *Allocator) RequestDeclined(now time.Time, issuer domain.BoxID) bool {
 	p := d.peer(issuer)
 	p.asking--
 	news := p.silent == 0
@@ -149,8 +149,8 @@
 	return news
 }
 
-// Silent takes that the issuer did not answer. It reports whether that was news.
-func (d *Allocator) Silent(now time.Time, issuer domain.BoxID) bool {
+// RequestTimedOut takes that the issuer did not answer. It reports whether that was news.
+func (d *Allocator) RequestTimedOut(now time.Time, issuer domain.BoxID) bool {
 	p := d.peer(issuer)
 	p.asking--
 	p.until = now.Add(min(silentFor<<min(p.silent, maxSilent), silentMost))
@@ -158,9 +158,9 @@
 	return p.silent == 1
 }
 
-// Is reports whether this box is the issuer of the service, which is the box. One that is not any
+// IsIssuer reports whether this box is the issuer of the service, which is the box. One that is not any
 // more forgets what it handed out: it does not know what the other does.
-func (d *Allocator) Is(issuer domain.BoxID, svc domain.ServiceName) bool {
+func (d *Allocator) IsIssuer(issuer domain.BoxID, svc domain.ServiceName) bool {
 	if issuer == d.self {
 		return true
 	}
@@ -175,8 +175,8 @@
 	return d.grant(now, d.issued, svc, wants, part)
 }
 
-// Own hands out permits to this box by its own part.
-func (d *Allocator) Own(now time.Time, svc domain.ServiceName, wants []Want, part float64) Grant {
+// IssueFallback hands out permits to this box by its own part.
+func (d *Allocator) IssueFallback(now time.Time, svc domain.ServiceName, wants []Want, part float64) Grant {
 	d.ownAt = now
 	return d.grant(now, d.own, svc, wants, part)
 }
@@ -203,7 +203,7 @@
 	return g
 }
 
-// Apart reports whether this box goes by its own part, so that no issuer speaks for it.
-func (d *Allocator) Apart(now time.Time) bool {
+// UsesFallback reports whether this box goes by its own part, so that no issuer speaks for it.
+func (d *Allocator) UsesFallback(now time.Time) bool {
 	return !d.ownAt.IsZero() && now.Sub(d.ownAt) < apartFor
 }
--- a/ratelimit/allocator_test.go
+++ b/ratelimit/allocator_test.go
@@ -24,52 +24,52 @@
 	expect(0, "self", ratelimit.Local{})
 	expect(0, other, ratelimit.Remote{Issuer: other})
 	expect(0, "", ratelimit.Fallback{})
-	d.Asked(other)
-	if !d.Silent(at(0), other) {
+	d.RequestSent(other)
+	if !d.RequestTimedOut(at(0), other) {
 		t.Error("its silence is no news")
 	}
 	expect(second/2, other, ratelimit.Fallback{})
-	expect(second, other, ratelimit.Fallback{Again: other})
-	d.Asked(other)
+	expect(second, other, ratelimit.Fallback{Probe: other})
+	d.RequestSent(other)
 	expect(second, other, ratelimit.Fallback{}) // one look at a time
-	if d.Silent(at(second), other) {
+	if d.RequestTimedOut(at(second), other) {
 		t.Error("its silence is news again")
 	}
 	expect(2*second, other, ratelimit.Fallback{})
-	expect(3*second, other, ratelimit.Fallback{Again: other})
+	expect(3*second, other, ratelimit.Fallback{Probe: other})
 	expect(3*second, "third", ratelimit.Remote{Issuer: "third"})
-	d.Asked(other)
-	d.Asked(other)
-	if !d.Answered(service, other, true) || d.Answered(service, other, true) {
+	d.RequestSent(other)
+	d.RequestSent(other)
+	if !d.ReplyReceived(service, other, true) || d.ReplyReceived(service, other, true) {
 		t.Error("that it answers again is news once")
 	}
 	expect(3*second, other, ratelimit.Remote{Issuer: other})
-	d.Asked(other)
-	if !d.Declined(at(3*second), other) {
+	d.RequestSent(other)
+	if !d.RequestDeclined(at(3*second), other) {
 		t.Error("that it is not the issuer is no news")
 	}
 	expect(3*second, other, ratelimit.Fallback{})
-	expect(3*second+200*time.Millisecond, other, ratelimit.Fallback{Again: other})
-	d.Asked(other)
-	d.Answered(service, other, true)
-	d.Asked(other)
-	d.Overdue(other)
+	expect(3*second+200*time.Millisecond, other, ratelimit.Fallback{Probe: other})
+	d.RequestSent(other)
+	d.ReplyReceived(service, other, true)
+	d.RequestSent(other)
+	d.ReplyOverdue(other)
 	expect(3*second, other, ratelimit.Pending{})
-	d.Answered(service, other, false)
-	expect(3*second, other, ratelimit.Remote{Issuer: other, Ahead: true})
-	d.Asked(other)
-	d.Answered(service, other, true)
+	d.ReplyReceived(service, other, false)
+	expect(3*second, other, ratelimit.Remote{Issuer: other, Prefetch: true})
+	d.RequestSent(other)
+	d.ReplyReceived(service, other, true)
 	expect(3*second, other, ratelimit.Remote{Issuer: other})
 }
 
 // TestABoxIsApartWhileItGoesByItsOwnPart.
 func TestABoxIsApartWhileItGoesByItsOwnPart(t *testing.T) {
 	d := ratelimit.NewAllocator("self", source())
-	if d.Apart(at(0)) {
+	if d.UsesFallback(at(0)) {
 		t.Error("it is apart before it asked for anything")
 	}
-	d.Own(at(time.Second), service, []ratelimit.Want{{Target: limited, Rate: 1}}, 0.5)
-	if !d.Apart(at(2*time.Second)) || d.Apart(at(10*time.Second)) {
+	d.IssueFallback(at(time.Second), service, []ratelimit.Want{{Target: limited, Rate: 1}}, 0.5)
+	if !d.UsesFallback(at(2*time.Second)) || d.UsesFallback(at(10*time.Second)) {
 		t.Error("it is not apart a second after it went by its own part, or nine seconds later")
 	}
 }
@@ -99,7 +99,7 @@
 	if g := d.Issue(at(4*time.Second), service, append(wants[:1:1], over), 1); g.Target != "over" || g.Permits != 1 {
 		t.Errorf("%+v", g)
 	}
-	if d.Is("other", service) || !d.Is("self", service) {
+	if d.IsIssuer("other", service) || !d.IsIssuer("self", service) {
 		t.Error("it does not know which box it is")
 	}
 	if g := d.Issue(at(60*time.Second), service, wants[:1], 1); g.Permits != 0 {
--- a/ratelimit/buckets.go
+++ b/ratelimit/buckets.go
@@ -117,8 +117,8 @@
 	return math.Inf(1)
 }
 
-// Part is the part of a limit that so many boxes have, of all that share it.
-func Part(boxes, sharing int) float64 {
+// Share is the part of a limit that so many boxes have, of all that share it.
+func Share(boxes, sharing int) float64 {
 	if boxes >= sharing {
 		return 1
 	}
--- a/ratelimit/buckets_test.go
+++ b/ratelimit/buckets_test.go
@@ -83,10 +83,10 @@
 			t.Errorf("%v: %v a second", tc.limit, r)
 		}
 	}
-	if p := ratelimit.Part(3, 4); p != 0.75 {
+	if p := ratelimit.Share(3, 4); p != 0.75 {
 		t.Errorf("3 of 4 boxes have %v", p)
 	}
-	if p := ratelimit.Part(5, 4); p != 1 {
+	if p := ratelimit.Share(5, 4); p != 1 {
 		t.Errorf("5 of 4 boxes have %v", p)
 	}
 }
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -113,7 +113,7 @@
 		if now%(5*time.Second) == 0 {
 			n.boxes.Sample(at(now), 0) // forgets those that were lost
 		}
-		shares[n.id] = membership.Share{Boxes: n.boxes.Counted(at(now)), Apart: n.allocator.Apart(at(now)), Settled: n.boxes.Settled(at(now))}
+		shares[n.id] = membership.Share{Boxes: n.boxes.Counted(at(now)), Apart: n.allocator.UsesFallback(at(now)), Settled: n.boxes.Settled(at(now))}
 	}
 	for _, n := range f.nodes {
 		for _, x := range f.nodes {
@@ -144,7 +144,7 @@
 		g, ok = f.ask(n, now, wants)
 	}
 	if !ok {
-		g = n.allocator.Own(now, service, wants, ratelimit.Part(1, sharing))
+		g = n.allocator.IssueFallback(now, service, wants, ratelimit.Share(1, sharing))
 	}
 	for _, t := range g.Turns {
 		n.register.Denied(t.Target, t.At)
@@ -160,12 +160,12 @@
 	case ratelimit.Local:
 		return f.issue(n, now, wants), true
 	case ratelimit.Remote:
-		n.allocator.Asked(w.Issuer)
+		n.allocator.RequestSent(w.Issuer)
 		return f.askAt(n, f.byID(w.Issuer), now, wants)
 	case ratelimit.Fallback:
-		if w.Again != "" {
-			n.allocator.Asked(w.Again)
-			f.askAt(n, f.byID(w.Again), now, nil)
+		if w.Probe != "" {
+			n.allocator.RequestSent(w.Probe)
+			f.askAt(n, f.byID(w.Probe), now, nil)
 		}
 	}
 	return ratelimit.Grant{}, false
@@ -174,19 +174,19 @@
 func (f *fleet) askAt(n, x *node, now time.Time, wants []ratelimit.Want) (ratelimit.Grant, bool) {
 	switch {
 	case !f.hear(n, x):
-		n.allocator.Silent(now, x.id)
+		n.allocator.RequestTimedOut(now, x.id)
 		return ratelimit.Grant{}, false
-	case !x.allocator.Is(x.boxes.Issuer(now, service, false).Box, service):
-		n.allocator.Declined(now, x.id)
+	case !x.allocator.IsIssuer(x.boxes.Issuer(now, service, false).Box, service):
+		n.allocator.RequestDeclined(now, x.id)
 		return ratelimit.Grant{}, false
 	}
-	n.allocator.Answered(service, x.id, true)
+	n.allocator.ReplyReceived(service, x.id, true)
 	return f.issue(x, now, wants), true
 }
 
 func (f *fleet) issue(x *node, now time.Time, wants []ratelimit.Want) ratelimit.Grant {
 	heard, sharing := x.boxes.Part(now)
-	return x.allocator.Issue(now, service, wants, ratelimit.Part(heard, sharing))
+	return x.allocator.Issue(now, service, wants, ratelimit.Share(heard, sharing))
 }
 
 func (f *fleet) byID(id domain.BoxID) *node {
