--- a/node/choosing.go
+++ b/node/choosing.go
@@ -40,12 +40,12 @@
 	defer f.mu.Unlock()
 	f.askedAt[q.Service] = now
 	options := f.options(now, q.Service, q.Tried)
-	open := slices.DeleteFunc(slices.Clone(options), func(o routing.Option) bool { return !f.open(now, o) && !f.limits.Due(now, o.ID) })
+	open := slices.DeleteFunc(slices.Clone(options), func(o routing.Option) bool { return !f.open(now, o) && !f.limits.TurnDue(now, o.ID) })
 	chosen, err := f.pick(now, q, options, open)
 	if err != nil {
 		return nil, nil, err
 	}
-	if !chosen.Limited || f.limits.Spend(now, chosen.ID) {
+	if !chosen.Limited || f.limits.UsePermit(now, chosen.ID) {
 		return f.at(now, chosen), nil, nil
 	}
 	return nil, f.asks(now, chosen, open), nil
@@ -64,13 +64,13 @@
 	if err != nil {
 		return nil, err
 	}
-	f.limits.Spend(now, chosen.ID)
+	f.limits.UsePermit(now, chosen.ID)
 	return f.at(now, chosen), nil
 }
 
 // open reports whether the option may be sent work without asking; mu is held.
 func (f *fleet) open(now time.Time, o routing.Option) bool {
-	return !o.Limited || f.limits.Has(now, o.ID)
+	return !o.Limited || f.limits.HasPermit(now, o.ID)
 }
 
 // pick chooses among those of the options that are open, or refuses the request; mu is held.
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -70,7 +70,7 @@
 	for _, u := range f.roster.Ranked(now, svc) {
 		if u.Standing.Usable() && !slices.Contains(tried, u.Target.ID()) {
 			o := optionOf(u)
-			o.Limited = !f.limits.Free(o.ID)
+			o.Limited = !f.limits.Unlimited(o.ID)
 			options = append(options, o)
 		}
 	}
@@ -142,7 +142,7 @@
 // at the time.
 func (f *fleet) names(now time.Time, id domain.InstanceID, l call.Limit, taken time.Time) {
 	f.mu.Lock()
-	news := f.limits.Heard(now, id, l, taken)
+	news := f.limits.RecordAnswer(now, id, l, taken)
 	f.mu.Unlock()
 	if news {
 		f.limited(ratelimit.Report{Target: id, Limit: l, At: now}, "answer")
@@ -154,7 +154,7 @@
 	var news []ratelimit.Report
 	f.mu.Lock()
 	for _, w := range reports {
-		if f.limits.Take(now, w) {
+		if f.limits.Update(now, w) {
 			news = append(news, w)
 		}
 	}
@@ -193,20 +193,20 @@
 func (f *fleet) knowsLimits() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.limits.Known()
+	return f.limits.HasLimits()
 }
 
 // limitReports are reports of limits for other boxes.
 func (f *fleet) limitReports(now time.Time, others int) []ratelimit.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.limits.Latest(now, others)
+	return f.limits.ReportsForPeers(now, others)
 }
 
 // granted takes permits that were asked for at the time, and reports for which target one is used at
 // once; empty if there is none.
 func (f *fleet) granted(asked time.Time, g ratelimit.Grant) domain.InstanceID {
-	if g.Permits > 0 && !ratelimit.Lapsed(clock.Now(), asked) {
+	if g.Permits > 0 && !ratelimit.PermitExpired(clock.Now(), asked) {
 		g.Permits--
 		f.keep(asked, g)
 		return g.Target
@@ -220,9 +220,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range g.Turns {
-		f.limits.Denied(t.Target, t.At)
+		f.limits.SetTurn(t.Target, t.At)
 	}
 	if g.Target != "" {
-		f.limits.Granted(asked, g.Target, g.Permits)
+		f.limits.AddPermits(asked, g.Target, g.Permits)
 	}
 }
--- a/node/place.go
+++ b/node/place.go
@@ -36,7 +36,7 @@
 	if !p.fleet.roster.Wanted(now, id) {
 		return false
 	}
-	return p.fleet.limits.Admits(now, id, p.permitted, p.taken)
+	return p.fleet.limits.MaySend(now, id, p.permitted, p.taken)
 }
 
 // Heard implements gateway.Lease.
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -98,7 +98,7 @@
 				continue
 			}
 			f.asked++
-			n.register.Take(at(now), ratelimit.Report{Target: limited, Limit: call.Limited{PerSecond: f.limit}, At: at(now)})
+			n.register.Update(at(now), ratelimit.Report{Target: limited, Limit: call.Limited{PerSecond: f.limit}, At: at(now)})
 			if f.permit(n, now) {
 				f.sent = append(f.sent, now)
 			}
@@ -133,10 +133,10 @@
 	if f.way == saving {
 		return f.save(n, d, sharing)
 	}
-	if n.register.Spend(now, limited) {
+	if n.register.UsePermit(now, limited) {
 		return true
 	}
-	if !n.register.Due(now, limited) {
+	if !n.register.TurnDue(now, limited) {
 		return false
 	}
 	g, ok := ratelimit.Grant{}, false
@@ -147,9 +147,9 @@
 		g = n.allocator.IssueFallback(now, service, wants, ratelimit.Share(1, sharing))
 	}
 	for _, t := range g.Turns {
-		n.register.Denied(t.Target, t.At)
+		n.register.SetTurn(t.Target, t.At)
 	}
-	n.register.Granted(now, limited, max(g.Permits-1, 0))
+	n.register.AddPermits(now, limited, max(g.Permits-1, 0))
 	return g.Permits > 0
 }
 
@@ -200,7 +200,7 @@
 
 // save is a token bucket of one request at each box.
 func (f *fleet) save(n *node, d time.Duration, sharing int) bool {
-	n.register.Granted(at(d), limited, 0) // so that nothing of it is used
+	n.register.AddPermits(at(d), limited, 0) // so that nothing of it is used
 	since := float64(d) / float64(time.Second)
 	have := since*f.limit/float64(sharing) - n.saved
 	if have > 1 {
--- a/ratelimit/register.go
+++ b/ratelimit/register.go
@@ -58,24 +58,24 @@
 	return &Register{rand: rnd, entries: map[domain.InstanceID]*entry{}}
 }
 
-// Heard takes what a target said with its answer to a request that was sent at the time, and tells
+// RecordAnswer takes what a target said with its answer to a request that was sent at the time, and tells
 // whether that was news. Answers overtake each other, so that one without a limit ends it only if
 // it is to a request sent after the limit was named last.
-func (r *Register) Heard(now time.Time, id domain.InstanceID, l call.Limit, sent time.Time) bool {
+func (r *Register) RecordAnswer(now time.Time, id domain.InstanceID, l call.Limit, sent time.Time) bool {
 	switch l.(type) {
 	case call.Limited:
-		return r.Take(now, Report{Target: id, Limit: l, At: now})
+		return r.Update(now, Report{Target: id, Limit: l, At: now})
 	case call.Unlimited:
 		e, ok := r.entries[id]
-		return ok && sent.After(e.at) && r.Take(now, Report{Target: id, Limit: l, At: now})
+		return ok && sent.After(e.at) && r.Update(now, Report{Target: id, Limit: l, At: now})
 	default:
 		return false
 	}
 }
 
-// Take takes a report, of this box or another, and reports whether the target has another limit now.
+// Update takes a report, of this box or another, and reports whether the target has another limit now.
 // The newest word counts, in whatever order they come.
-func (r *Register) Take(now time.Time, w Report) bool {
+func (r *Register) Update(now time.Time, w Report) bool {
 	e, ok := r.entries[w.Target]
 	if w.Limit == nil || ok && !w.At.After(e.at) {
 		return false
@@ -120,40 +120,40 @@
 	return Report{Target: id, Limit: e.limit, At: e.at}, true
 }
 
-// Free reports that the target may be sent work without a permit.
-func (r *Register) Free(id domain.InstanceID) bool {
+// Unlimited reports that the target may be sent work without a permit.
+func (r *Register) Unlimited(id domain.InstanceID) bool {
 	_, limited := r.Limit(id)
 	return !limited
 }
 
-// Has reports whether there is a permit for the target.
-func (r *Register) Has(now time.Time, id domain.InstanceID) bool {
+// HasPermit reports whether there is a permit for the target.
+func (r *Register) HasPermit(now time.Time, id domain.InstanceID) bool {
 	e, ok := r.entries[id]
 	return ok && e.permits > 0 && now.Before(e.until)
 }
 
-// Spend uses a permit for the target, if there is one.
-func (r *Register) Spend(now time.Time, id domain.InstanceID) bool {
-	if !r.Has(now, id) {
+// UsePermit uses a permit for the target, if there is one.
+func (r *Register) UsePermit(now time.Time, id domain.InstanceID) bool {
+	if !r.HasPermit(now, id) {
 		return false
 	}
 	r.entries[id].permits--
 	return true
 }
 
-// Admits reports whether a request that was to be sent to the target at the time, with a permit or
+// MaySend reports whether a request that was to be sent to the target at the time, with a permit or
 // while it named no limit, may still be sent. If it needs another permit and there is one, it uses
 // that.
-func (r *Register) Admits(now time.Time, id domain.InstanceID, permitted bool, at time.Time) bool {
-	return permitted && !Lapsed(now, at) || r.Free(id) || r.Spend(now, id)
+func (r *Register) MaySend(now time.Time, id domain.InstanceID, permitted bool, at time.Time) bool {
+	return permitted && !PermitExpired(now, at) || r.Unlimited(id) || r.UsePermit(now, id)
 }
 
-// Lapsed reports that a permit that was asked for at the time may not be used any more, as where the
+// PermitExpired reports that a permit that was asked for at the time may not be used any more, as where the
 // box stood still meanwhile.
-func Lapsed(now, asked time.Time) bool { return now.Sub(asked) >= permitFor }
+func PermitExpired(now, asked time.Time) bool { return now.Sub(asked) >= permitFor }
 
-// Due reports whether it is this box's turn to ask for permits for the target.
-func (r *Register) Due(now time.Time, id domain.InstanceID) bool { return !now.Before(r.Turn(id)) }
+// TurnDue reports whether it is this box's turn to ask for permits for the target.
+func (r *Register) TurnDue(now time.Time, id domain.InstanceID) bool { return !now.Before(r.Turn(id)) }
 
 // Turn is when this box may get a permit for the target; zero if nothing is known against now.
 func (r *Register) Turn(id domain.InstanceID) time.Time {
@@ -164,8 +164,8 @@
 	return e.turn
 }
 
-// Granted takes permits that were asked for at the time.
-func (r *Register) Granted(asked time.Time, id domain.InstanceID, permits int) {
+// AddPermits takes permits that were asked for at the time.
+func (r *Register) AddPermits(asked time.Time, id domain.InstanceID, permits int) {
 	e, ok := r.entries[id]
 	if !ok {
 		return
@@ -177,15 +177,15 @@
 	e.until, e.turn = asked.Add(permitFor), time.Time{}
 }
 
-// Denied takes that there is no permit for this box before its turn.
-func (r *Register) Denied(id domain.InstanceID, turn time.Time) {
+// SetTurn takes that there is no permit for this box before its turn.
+func (r *Register) SetTurn(id domain.InstanceID, turn time.Time) {
 	if e, ok := r.entries[id]; ok {
 		e.turn = turn
 	}
 }
 
-// Latest are reports for other boxes: those that are news, and so many of the others by chance.
-func (r *Register) Latest(now time.Time, others int) []Report {
+// ReportsForPeers are reports for other boxes: those that are news, and so many of the others by chance.
+func (r *Register) ReportsForPeers(now time.Time, others int) []Report {
 	var news, rest []Report
 	for id, e := range r.entries {
 		w := Report{Target: id, Limit: e.limit, At: e.at}
@@ -200,13 +200,13 @@
 	return append(news, rest[:min(len(rest), others)]...)
 }
 
-// Known reports whether any target names a limit, or did until lately.
-func (r *Register) Known() bool { return len(r.entries) > 0 }
+// HasLimits reports whether any target names a limit, or did until lately.
+func (r *Register) HasLimits() bool { return len(r.entries) > 0 }
 
 // Forget drops limits that have long ended, and those of targets that are not in keep.
 func (r *Register) Forget(now time.Time, keep func(domain.InstanceID) bool) {
 	for id, e := range r.entries {
-		if !keep(id) || r.Free(id) && now.Sub(e.changedAt) > endedFor {
+		if !keep(id) || r.Unlimited(id) && now.Sub(e.changedAt) > endedFor {
 			delete(r.entries, id)
 		}
 	}
--- a/ratelimit/register_test.go
+++ b/ratelimit/register_test.go
@@ -39,15 +39,15 @@
 		{"with another limit, sent before", call.Limited{PerSecond: 7}, 9 * second, false},
 	} {
 		r := ratelimit.NewRegister(source())
-		if r.Heard(at(0), limited, call.Unlimited{}, at(0)) || !r.Free(limited) {
+		if r.RecordAnswer(at(0), limited, call.Unlimited{}, at(0)) || !r.Unlimited(limited) {
 			t.Errorf("%s: a target that never named a limit is not free", tc.name)
 		}
-		if !r.Heard(at(10*second), limited, call.Limited{PerSecond: 2}, at(9*second)) || r.Free(limited) {
+		if !r.RecordAnswer(at(10*second), limited, call.Limited{PerSecond: 2}, at(9*second)) || r.Unlimited(limited) {
 			t.Errorf("%s: the limit is not taken", tc.name)
 		}
-		r.Heard(at(12*second), limited, tc.l, at(tc.sent))
-		if r.Free(limited) != tc.free {
-			t.Errorf("%s: free is %v", tc.name, r.Free(limited))
+		r.RecordAnswer(at(12*second), limited, tc.l, at(tc.sent))
+		if r.Unlimited(limited) != tc.free {
+			t.Errorf("%s: free is %v", tc.name, r.Unlimited(limited))
 		}
 	}
 }
@@ -68,7 +68,7 @@
 		order := rapid.Permutation(append(reports, reports...)).Draw(rt, "order")
 		r := ratelimit.NewRegister(source())
 		for _, w := range order {
-			r.Take(at(time.Minute), w)
+			r.Update(at(time.Minute), w)
 		}
 		limit, is := r.Limit(limited)
 		want, named := newest.Limit.(call.Limited)
@@ -89,35 +89,35 @@
 		due   bool
 	}{
 		{"nothing happens", func(*ratelimit.Register) {}, 3, false},
-		{"the limit is named again", func(r *ratelimit.Register) { r.Take(at(second), word(5.2, second)) }, 3, false},
-		{"the limit falls", func(r *ratelimit.Register) { r.Take(at(second), word(1, second)) }, 0, true},
-		{"the limit rises", func(r *ratelimit.Register) { r.Take(at(second), word(50, second)) }, 0, true},
+		{"the limit is named again", func(r *ratelimit.Register) { r.Update(at(second), word(5.2, second)) }, 3, false},
+		{"the limit falls", func(r *ratelimit.Register) { r.Update(at(second), word(1, second)) }, 0, true},
+		{"the limit rises", func(r *ratelimit.Register) { r.Update(at(second), word(50, second)) }, 0, true},
 		{"the limit ends and is named again", func(r *ratelimit.Register) {
-			r.Take(at(second), ended(second))
-			r.Take(at(second), word(5, 2*second))
+			r.Update(at(second), ended(second))
+			r.Update(at(second), word(5, 2*second))
 		}, 0, true},
 	} {
 		r := ratelimit.NewRegister(source())
-		r.Take(at(0), word(5, 0))
-		r.Granted(at(second), limited, 3)
-		r.Denied(limited, at(9*second))
+		r.Update(at(0), word(5, 0))
+		r.AddPermits(at(second), limited, 3)
+		r.SetTurn(limited, at(9*second))
 		tc.do(r)
 		spent := 0
-		for r.Spend(at(second+100*time.Millisecond), limited) {
+		for r.UsePermit(at(second+100*time.Millisecond), limited) {
 			spent++
 		}
-		if due := r.Due(at(second+100*time.Millisecond), limited); spent != tc.spent || due != tc.due {
+		if due := r.TurnDue(at(second+100*time.Millisecond), limited); spent != tc.spent || due != tc.due {
 			t.Errorf("%s: %d permits, due %v", tc.name, spent, due)
 		}
 	}
 	r := ratelimit.NewRegister(source())
-	r.Take(at(0), word(5, 0))
-	r.Granted(at(second), limited, 3)
-	if r.Has(at(2*second), limited) {
+	r.Update(at(0), word(5, 0))
+	r.AddPermits(at(second), limited, 3)
+	if r.HasPermit(at(2*second), limited) {
 		t.Error("a permit is kept for a second")
 	}
-	r.Granted(at(2*second), limited, 1)
-	if !r.Spend(at(2*second), limited) || r.Spend(at(2*second), limited) {
+	r.AddPermits(at(2*second), limited, 1)
+	if !r.UsePermit(at(2*second), limited) || r.UsePermit(at(2*second), limited) {
 		t.Error("permits that lapsed come back with the next")
 	}
 }
@@ -128,18 +128,18 @@
 	const others = 2
 	r := ratelimit.NewRegister(source())
 	for i := range 20 {
-		r.Take(at(0), ratelimit.Report{Target: domain.InstanceID(fmt.Sprint("t-", i)), Limit: call.Limited{PerSecond: 5}, At: at(0)})
+		r.Update(at(0), ratelimit.Report{Target: domain.InstanceID(fmt.Sprint("t-", i)), Limit: call.Limited{PerSecond: 5}, At: at(0)})
 	}
-	if n := len(r.Latest(at(time.Second), others)); n != 20 {
+	if n := len(r.ReportsForPeers(at(time.Second), others)); n != 20 {
 		t.Errorf("%d of 20 are told while they are news", n)
 	}
 	told := map[domain.InstanceID]bool{}
 	for i := range 100 {
 		now := at(time.Minute + time.Duration(i)*time.Second)
-		if r.Take(now, ratelimit.Report{Target: "t-3", Limit: call.Limited{PerSecond: 5 + 0.1*math.Sin(float64(i))}, At: now}) {
+		if r.Update(now, ratelimit.Report{Target: "t-3", Limit: call.Limited{PerSecond: 5 + 0.1*math.Sin(float64(i))}, At: now}) {
 			t.Error("a limit that is nearly the same is news")
 		}
-		list := r.Latest(now, others)
+		list := r.ReportsForPeers(now, others)
 		if len(list) != others {
 			t.Errorf("%d are told", len(list))
 		}
@@ -155,15 +155,15 @@
 // TestWhatIsOverIsForgotten: limits of targets that are gone, and those that ended long ago.
 func TestWhatIsOverIsForgotten(t *testing.T) {
 	r := ratelimit.NewRegister(source())
-	r.Take(at(0), word(5, 0))
-	r.Take(at(0), ratelimit.Report{Target: "gone", Limit: call.Limited{PerSecond: 5}, At: at(0)})
+	r.Update(at(0), word(5, 0))
+	r.Update(at(0), ratelimit.Report{Target: "gone", Limit: call.Limited{PerSecond: 5}, At: at(0)})
 	r.Forget(at(time.Second), func(id domain.InstanceID) bool { return id == limited })
-	if !r.Free("gone") || r.Free(limited) {
+	if !r.Unlimited("gone") || r.Unlimited(limited) {
 		t.Error("what is gone is kept, or what is not is forgotten")
 	}
-	r.Take(at(2*time.Second), ended(2*time.Second))
+	r.Update(at(2*time.Second), ended(2*time.Second))
 	r.Forget(at(3*time.Second), func(domain.InstanceID) bool { return true })
-	if r.Take(at(4*time.Second), word(5, time.Second)) {
+	if r.Update(at(4*time.Second), word(5, time.Second)) {
 		t.Error("older word brings back what has ended")
 	}
 	r.Forget(at(2*time.Minute), func(domain.InstanceID) bool { return true })
@@ -175,18 +175,18 @@
 // TestWhatWasChosenBeforeTheLimitNeedsAPermit: a connection may take a second to come up.
 func TestWhatWasChosenBeforeTheLimitNeedsAPermit(t *testing.T) {
 	r := ratelimit.NewRegister(source())
-	if !r.Admits(at(0), limited, false, at(0)) {
+	if !r.MaySend(at(0), limited, false, at(0)) {
 		t.Error("a target without a limit needs a permit")
 	}
-	r.Take(at(0), word(5, 0))
-	if r.Admits(at(0), limited, false, at(0)) || !r.Admits(at(0), limited, true, at(0)) {
+	r.Update(at(0), word(5, 0))
+	if r.MaySend(at(0), limited, false, at(0)) || !r.MaySend(at(0), limited, true, at(0)) {
 		t.Error("a request goes without a permit, or not with the one that it has")
 	}
-	if r.Admits(at(3*time.Second), limited, true, at(0)) {
+	if r.MaySend(at(3*time.Second), limited, true, at(0)) {
 		t.Error("a box that stood still uses a permit of three seconds ago")
 	}
-	r.Granted(at(0), limited, 1)
-	if !r.Admits(at(0), limited, false, at(0)) || r.Admits(at(0), limited, false, at(0)) {
+	r.AddPermits(at(0), limited, 1)
+	if !r.MaySend(at(0), limited, false, at(0)) || r.MaySend(at(0), limited, false, at(0)) {
 		t.Error("it does not use the permit that there is, or uses it twice")
 	}
 }
