--- a/admission/gate.go
+++ b/admission/gate.go
@@ -15,9 +15,9 @@
 
 // Request is what a Gate goes by.
 type Request struct {
-	Route string
-	Remaining  time.Duration // that the caller has
-	FirstByteSLO   time.Duration // within which the answer must begin to be in time; 0 for none
+	Route        string
+	Remaining    time.Duration // that the caller has
+	FirstByteSLO time.Duration // within which the answer must begin to be in time; 0 for none
 	// FirstByte is after how long an answer is expected to begin, Wait how much of it the
 	// request would wait for a slot.
 	FirstByte, Wait time.Duration
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -254,7 +254,7 @@
 // purse pays for any number of retries.
 type purse struct{}
 
-func (purse) AddRequest(time.Time)   {}
+func (purse) AddRequest(time.Time)      {}
 func (purse) SpendRetry(time.Time) bool { return true }
 
 // quarantine bars work under which so many targets ended, and notes what it is told.
--- a/ratelimit/allocator.go
+++ b/ratelimit/allocator.go
@@ -30,8 +30,8 @@
 // Remote means that another box is the issuer, and is to be asked. One that is slow is asked ahead:
 // the request does not wait for the answer, and what it brings is for those that come later.
 type Remote struct {
-	Issuer domain.BoxID
-	Prefetch  bool
+	Issuer   domain.BoxID
+	Prefetch bool
 }
 
 // Pending means that a slow issuer is being asked already.
--- a/retry/end.go
+++ b/retry/end.go
@@ -31,7 +31,7 @@
 // Broken is the end in which the answer broke off after it had begun. Passed tells
 // whether the caller has any of it.
 type Broken struct {
-	Err    error
+	Err       error
 	Forwarded bool
 }
 
@@ -42,15 +42,15 @@
 // Expired is the end in which the deadline passed.
 type Expired struct{}
 
-func (Answered) end() {}
-func (Lost) end()      {}
-func (NotSent) end() {}
-func (Declined) end()  {}
-func (Failed) end()    {}
-func (FirstByteTimedOut) end()    {}
-func (Broken) end()    {}
-func (Moved) end()     {}
-func (Expired) end()   {}
+func (Answered) end()          {}
+func (Lost) end()              {}
+func (NotSent) end()           {}
+func (Declined) end()          {}
+func (Failed) end()            {}
+func (FirstByteTimedOut) end() {}
+func (Broken) end()            {}
+func (Moved) end()             {}
+func (Expired) end()           {}
 
 // ResolveTimeout is the end of an attempt that was cut off for its silence and came to the
 // end e. An answer that began at the last moment counts; above all, one of which the
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -189,7 +189,9 @@
 }
 
 // Utilisation is the load of the options as a share of their slots.
-func (b *Balancer) Utilisation(now time.Time, options []Option) float64 { return b.fill(now, options, 0) }
+func (b *Balancer) Utilisation(now time.Time, options []Option) float64 {
+	return b.fill(now, options, 0)
+}
 
 // fill is the load with so much more work, as a share of the slots.
 func (b *Balancer) fill(now time.Time, options []Option, more float64) float64 {
