--- a/node/budgets.go
+++ b/node/budgets.go
@@ -65,14 +65,14 @@
 	service domain.ServiceName
 }
 
-// AddRequest implements retry.Purse.
+// AddRequest implements retry.Budget.
 func (s servicePurse) AddRequest(now time.Time) {
 	s.budgets.mu.Lock()
 	defer s.budgets.mu.Unlock()
 	s.budgets.of(s.service).Request(now)
 }
 
-// SpendRetry implements retry.Purse.
+// SpendRetry implements retry.Budget.
 func (s servicePurse) SpendRetry(now time.Time) bool {
 	s.budgets.mu.Lock()
 	defer s.budgets.mu.Unlock()
--- a/node/limiting.go
+++ b/node/limiting.go
@@ -179,7 +179,7 @@
 func (l *limiting) note(now time.Time, q *question, r *mesh.PermitReply, err error) {
 	log := l.entry.common.Log.With("service", q.svc, "peer", q.issuer.Box, "after", now.Sub(q.asked))
 	switch {
-	case err != nil && l.allocator.RequestTimedOut(now, q.issuer.Box):
+	case err != nil && l.allocator.RequestFailed(now, q.issuer.Box):
 		log.Warn("issuer lost", "err", err)
 		l.entry.peering.notify()
 	case err == nil && !r.Issuer && l.allocator.RequestDeclined(now, q.issuer.Box):
--- a/ratelimit/allocator.go
+++ b/ratelimit/allocator.go
@@ -149,8 +149,8 @@
 	return news
 }
 
-// RequestTimedOut takes that the issuer did not answer. It reports whether that was news.
-func (d *Allocator) RequestTimedOut(now time.Time, issuer domain.BoxID) bool {
+// RequestFailed takes that the issuer did not answer. It reports whether that was news.
+func (d *Allocator) RequestFailed(now time.Time, issuer domain.BoxID) bool {
 	p := d.peer(issuer)
 	p.asking--
 	p.until = now.Add(min(silentFor<<min(p.silent, maxSilent), silentMost))
--- a/ratelimit/allocator_test.go
+++ b/ratelimit/allocator_test.go
@@ -25,14 +25,14 @@
 	expect(0, other, ratelimit.Remote{Issuer: other})
 	expect(0, "", ratelimit.Fallback{})
 	d.RequestSent(other)
-	if !d.RequestTimedOut(at(0), other) {
+	if !d.RequestFailed(at(0), other) {
 		t.Error("its silence is no news")
 	}
 	expect(second/2, other, ratelimit.Fallback{})
 	expect(second, other, ratelimit.Fallback{Probe: other})
 	d.RequestSent(other)
 	expect(second, other, ratelimit.Fallback{}) // one look at a time
-	if d.RequestTimedOut(at(second), other) {
+	if d.RequestFailed(at(second), other) {
 		t.Error("its silence is news again")
 	}
 	expect(2*second, other, ratelimit.Fallback{})
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -174,7 +174,7 @@
 func (f *fleet) askAt(n, x *node, now time.Time, wants []ratelimit.Want) (ratelimit.Grant, bool) {
 	switch {
 	case !f.hear(n, x):
-		n.allocator.RequestTimedOut(now, x.id)
+		n.allocator.RequestFailed(now, x.id)
 		return ratelimit.Grant{}, false
 	case !x.allocator.IsIssuer(x.boxes.Issuer(now, service, false).Box, service):
 		n.allocator.RequestDeclined(now, x.id)
