--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -13,43 +13,44 @@
 type Option struct {
 	ID    domain.InstanceID
 	Hall  domain.HallName
-	Group domain.GroupName // empty for a target that stands alone
+	Group domain.GroupName // empty for a target without a group
 	Slots int
-	// Tier is how little the target is trusted; only the lowest tier is drawn from.
+	// Tier ranks targets by health, 0 being the best; Pick considers only the lowest tier among
+	// its options.
 	Tier int
-	// Limited reports that each request to it needs a permit.
+	// Limited reports that each request to the target needs a permit.
 	Limited bool
 }
 
-// Report is what a target says of its load.
+// Report is the load that a target reports.
 type Report struct {
 	Running, Waiting int
-	// Slowdown is how many times longer than usual its steps take; 1 is usual.
+	// Slowdown is how many times longer than usual the target's steps take; 1 is usual.
 	Slowdown float64
 }
 
 const (
-	meanSmoothing = 0.1                    // weight of a new sample in a mean time
-	firstUse      = time.Second            // time of a request before any sample
-	firstBegin    = 100 * time.Millisecond // time until an answer begins before any sample
-	leastFade     = 200 * time.Millisecond
-	// nearShare is how much more load a target of the same data hall may have and
-	// still be taken: less than one request of the smallest target in use.
-	nearShare = 0.05
+	meanSmoothing    = 0.1                    // weight of a new sample in a moving average
+	initialDuration  = time.Second            // assumed duration of a request before any sample
+	initialFirstByte = 100 * time.Millisecond // assumed time to the first byte before any sample
+	minFade          = 200 * time.Millisecond // shortest time constant with which reported load decays
+	// otherHallPenalty is added to the utilisation of targets in other data halls, so that a nearly as
+	// free target of the same hall is preferred: less than one request of the smallest target in use.
+	otherHallPenalty = 0.05
 )
 
-// Balancer chooses targets by load that is known late. It corrects what a target
-// last reported by what this box itself has sent and ended since; the rest of the
-// report fades with the time that requests usually take.
+// Balancer chooses targets by load reports that arrive late. It corrects the last report of a
+// target by the requests that this box has sent and finished since; the rest of the report decays
+// over the usual duration of a request.
 //
-// Targets of a group step together, so what counts is the load of the whole group:
-// the least loaded group is chosen first, and in it the least loaded rank. It is
-// not safe for concurrent use.
+// Targets of a group run their steps together, so the load of the whole group counts: the least
+// loaded group is chosen first, and then the least loaded rank in it. A Balancer is not safe for
+// concurrent use.
 type Balancer struct {
 	rand    *rand.Rand
 	targets map[domain.InstanceID]*load
 	steps   map[domain.GroupName]*steps
-	boxes   int // that choose among the same targets
+	boxes   int // number of boxes that choose among the same targets
 }
 
 // NewBalancer returns a balancer that breaks ties with rnd.
@@ -57,22 +58,22 @@
 	return &Balancer{rand: rnd, targets: map[domain.InstanceID]*load{}, steps: map[domain.GroupName]*steps{}, boxes: 1}
 }
 
-// SetBoxes sets how many boxes choose among the same targets.
+// SetBoxes sets the number of boxes that choose among the same targets.
 func (b *Balancer) SetBoxes(boxes int) { b.boxes = max(boxes, 1) }
 
 const (
-	// boxesUsual is how many boxes may each take the target that looks least loaded.
-	// Where there are more, all would send to the same few between two reports, so each
-	// looks only at a share of the targets, drawn anew for each request: every target
-	// is looked at by as many boxes as here.
-	boxesUsual = 8
-	// lookLeast is how many targets are looked at in any case.
-	lookLeast = 2
+	// maxBoxesPerTarget is the number of boxes that may all consider the same target. With more
+	// boxes, all would send to the same few least loaded targets between two reports. Each box
+	// therefore considers a random sample of the targets, drawn for each request, so that each
+	// target is considered by this number of boxes.
+	maxBoxesPerTarget = 8
+	// minSample is the least number of targets in a sample.
+	minSample = 2
 )
 
-// look draws the options that this box looks at.
-func (b *Balancer) look(options []Option) []Option {
-	n := max(lookLeast, len(options)*boxesUsual/max(b.boxes, boxesUsual))
+// sample draws the options that this box considers for one request.
+func (b *Balancer) sample(options []Option) []Option {
+	n := max(minSample, len(options)*maxBoxesPerTarget/max(b.boxes, maxBoxesPerTarget))
 	if n >= len(options) {
 		return options
 	}
@@ -81,131 +82,132 @@
 	return drawn[:n]
 }
 
-// load is what is known of one target's load.
+// load is the known load of one target.
 type load struct {
-	open   int     // requests of this box
-	others float64 // requests of other boxes when last reported
-	at     time.Time
-	pace   float64
-	use    time.Duration // mean time of a request of this box
-	first  time.Duration // mean time until its answer begins, once it has a slot
+	inFlight   int     // requests of this box
+	others     float64 // requests of other boxes at the last report
+	reportedAt time.Time
+	slowdown   float64
+	duration   time.Duration // mean duration of a request of this box
+	firstByte  time.Duration // mean time to the first byte, without the wait for a slot
 }
 
-// Ticket is one request of this box at a target. Its methods belong to the
-// balancer's owner, as the balancer's own do.
+// Ticket is one request of this box at a target. Like the Balancer that returned it, it is not
+// safe for concurrent use.
 type Ticket struct {
-	load  *load
-	at    time.Time
-	wait  time.Duration // that was expected
-	began bool
+	load   *load // nil once the request has ended
+	sentAt time.Time
+	wait   time.Duration // expected wait for a slot
+	began  bool
 }
 
 func (b *Balancer) load(id domain.InstanceID) *load {
 	l, ok := b.targets[id]
 	if !ok {
-		l = &load{pace: 1, use: firstUse, first: firstBegin}
+		l = &load{slowdown: 1, duration: initialDuration, firstByte: initialFirstByte}
 		b.targets[id] = l
 	}
 	return l
 }
 
-// Report takes what a target says of its load.
+// Report records the load that a target reports.
 func (b *Balancer) Report(now time.Time, id domain.InstanceID, r Report) {
 	l := b.load(id)
-	l.at = now
-	l.others = float64(max(0, r.Running+r.Waiting-l.open))
+	l.reportedAt = now
+	l.others = float64(max(0, r.Running+r.Waiting-l.inFlight))
 	if r.Slowdown > 0 {
-		l.pace = r.Slowdown
+		l.slowdown = r.Slowdown
 	}
 }
 
-// Sent counts a request that is sent to the option now.
+// Sent records that a request is sent to the option now.
 func (b *Balancer) Sent(now time.Time, o Option) *Ticket {
 	_, wait := b.EstimateFirstByte(now, o)
 	l := b.load(o.ID)
-	l.open++
-	return &Ticket{load: l, at: now, wait: wait}
+	l.inFlight++
+	return &Ticket{load: l, sentAt: now, wait: wait}
 }
 
-// Began records that the answer to the request of the ticket has begun.
+// Began records that the first byte of the answer has arrived. Only the first call for a ticket counts.
 func (b *Balancer) Began(now time.Time, t *Ticket) {
 	if t.load == nil || t.began {
 		return
 	}
 	t.began = true
-	served := max(now.Sub(t.at)-t.wait, 0)
-	t.load.first += time.Duration(meanSmoothing * float64(served-t.load.first))
+	served := max(now.Sub(t.sentAt)-t.wait, 0)
+	t.load.firstByte += time.Duration(meanSmoothing * float64(served-t.load.firstByte))
 }
 
-// Ended records that the request of the ticket is over. It is counted once.
+// Ended records that the request of the ticket is over. Only the first call for a ticket counts.
 func (b *Balancer) Ended(now time.Time, t *Ticket) {
 	if t.load == nil {
 		return
 	}
-	t.load.open--
-	t.load.use += time.Duration(meanSmoothing * float64(now.Sub(t.at)-t.load.use))
+	t.load.inFlight--
+	t.load.duration += time.Duration(meanSmoothing * float64(now.Sub(t.sentAt)-t.load.duration))
 	t.load = nil
 }
 
-// EstimateFirstByte is after how long an answer from the option is expected to begin, and how
-// much of that the request would wait for a slot.
+// EstimateFirstByte returns the expected time to the first byte of an answer from the option, and
+// the part of it that the request would wait for a slot.
 func (b *Balancer) EstimateFirstByte(now time.Time, o Option) (total, wait time.Duration) {
 	l := b.load(o.ID)
-	over := l.work(now) + 1 - float64(o.Slots)
+	over := l.expectedRequests(now) + 1 - float64(o.Slots)
 	if over > 0 && o.Slots > 0 {
-		wait = time.Duration(over / float64(o.Slots) * float64(l.use))
+		wait = time.Duration(over / float64(o.Slots) * float64(l.duration))
 	}
-	return wait + l.first, wait
+	return wait + l.firstByte, wait
 }
 
-// InFlight is how many requests of this box are at the target.
-func (b *Balancer) InFlight(id domain.InstanceID) int { return b.load(id).open }
+// InFlight returns the number of requests of this box that are running at the target.
+func (b *Balancer) InFlight(id domain.InstanceID) int { return b.load(id).inFlight }
 
-// Forget drops what is known of targets that are not in keep and owe no answer, and of
-// groups that have been idle for long.
+// Forget drops targets that are not in keep and have no requests of this box in flight, and groups
+// without a pause for stepsRetention.
 func (b *Balancer) Forget(now time.Time, keep func(domain.InstanceID) bool) {
 	b.forgetSteps(now)
 	for id, l := range b.targets {
-		if l.open == 0 && !keep(id) {
+		if l.inFlight == 0 && !keep(id) {
 			delete(b.targets, id)
 		}
 	}
 }
 
-// work is how many requests the target is expected to have now.
-func (l *load) work(now time.Time) float64 {
-	fade := max(l.use, leastFade)
-	return float64(l.open) + l.others*math.Exp(-float64(now.Sub(l.at))/float64(fade))
+// expectedRequests estimates how many requests the target has now.
+func (l *load) expectedRequests(now time.Time) float64 {
+	fade := max(l.duration, minFade)
+	return float64(l.inFlight) + l.others*math.Exp(-float64(now.Sub(l.reportedAt))/float64(fade))
 }
 
-// Pick chooses among the options for a request from the data hall; false only
-// where there is none.
+// Pick chooses an option for a request that arrived in the data hall. It returns false only if
+// there are no options.
 func (b *Balancer) Pick(now time.Time, hall domain.HallName, options []Option) (Option, bool) {
-	options = b.brisk(lowestTier(options))
+	options = b.withoutSlowRanks(lowestTier(options))
 	if len(options) == 0 {
 		return Option{}, false
 	}
-	return b.least(now, hall, b.look(b.group(now, hall, options))), true
+	return b.leastLoaded(now, hall, b.sample(b.chooseGroup(now, hall, options))), true
 }
 
-// Utilisation is the load of the options as a share of their slots.
+// Utilisation returns the load of the options as a share of their slots.
 func (b *Balancer) Utilisation(now time.Time, options []Option) float64 {
-	return b.fill(now, options, 0)
+	return b.utilisationWith(now, options, 0)
 }
 
-// fill is the load with so much more work, as a share of the slots.
-func (b *Balancer) fill(now time.Time, options []Option, more float64) float64 {
-	work, slots := more, 0
+// utilisationWith returns the utilisation of the options with a number of additional requests.
+func (b *Balancer) utilisationWith(now time.Time, options []Option, additional float64) float64 {
+	requests, slots := additional, 0
 	for _, o := range options {
-		work += b.load(o.ID).work(now)
+		requests += b.load(o.ID).expectedRequests(now)
 		slots += o.Slots
 	}
 	if slots == 0 {
 		return 0
 	}
-	return work / float64(slots)
+	return requests / float64(slots)
 }
 
+// lowestTier returns the options with the lowest tier.
 func lowestTier(options []Option) []Option {
 	var best []Option
 	for _, o := range options {
@@ -219,29 +221,29 @@
 	return best
 }
 
-// pace is that of the slowest of the options.
-func (b *Balancer) pace(options []Option) float64 {
+// maxSlowdown returns the slowdown of the slowest option, and at least 1.
+func (b *Balancer) maxSlowdown(options []Option) float64 {
 	slowest := 1.0
 	for _, o := range options {
-		slowest = max(slowest, b.load(o.ID).pace)
+		slowest = max(slowest, b.load(o.ID).slowdown)
 	}
 	return slowest
 }
 
-// least is the option with the least load for its slots. One of the same data hall
-// wins if it is nearly as free; else chance breaks ties.
-func (b *Balancer) least(now time.Time, hall domain.HallName, options []Option) Option {
+// leastLoaded returns the option with the lowest utilisation, weighted by slowdown. An option of the
+// same data hall is preferred if its utilisation is nearly as low; other ties are broken at random.
+func (b *Balancer) leastLoaded(now time.Time, hall domain.HallName, options []Option) Option {
 	var best Option
 	least, ties := math.Inf(1), 0
 	for _, o := range options {
-		fill := (b.load(o.ID).work(now) + 1) / float64(o.Slots) * b.load(o.ID).pace
+		score := (b.load(o.ID).expectedRequests(now) + 1) / float64(o.Slots) * b.load(o.ID).slowdown
 		if o.Hall != hall {
-			fill += nearShare
+			score += otherHallPenalty
 		}
 		switch {
-		case fill < least:
-			best, least, ties = o, fill, 1
-		case fill == least:
+		case score < least:
+			best, least, ties = o, score, 1
+		case score == least:
 			ties++
 			if b.rand.IntN(ties) == 0 {
 				best = o
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,20 +1,20 @@
-// Package routing picks the target of an attempt from load that is known late.
+// Package routing picks the target of a request attempt from load reports that arrive late.
 //
-// A Balancer keeps, for each target, the last load that it told, what this box has sent
-// it and ended since, and how long answers took to begin. Targets of a group step
-// together, so the group with the least to do for its size and the length of its steps
-// comes first, and in it the least loaded rank; a slow rank gets nothing, and streams
-// that it holds up can be moved (Drags). Where many boxes choose among the same
-// targets, each looks at a share of them, drawn anew.
+// For each target a Balancer keeps the last reported load, the requests that this box has sent and
+// finished since, and how long answers took to begin. Targets of a group run their steps together,
+// so a Balancer first chooses the group with the lowest product of utilisation and step length, and
+// then the least loaded rank in it. A slow rank gets no new requests, and streams on a rank that
+// slows its group down can be moved (IsStraggler). Where many boxes choose among the same targets,
+// each considers a random sample of them, drawn for each request.
 //
-// docs/design/routing.md has the ways that were weighed. A Balancer does no I/O.
+// docs/design/routing.md describes the alternatives that were considered. A Balancer does no I/O.
 //
 // # Usage
 //
 //	b := routing.NewBalancer(rand.New(rand.NewPCG(1, 2)))
-//	b.Report(now, id, report)                // as targets tell their load
-//	option, ok := b.Pick(now, hall, options) // of the lowest tier
+//	b.Report(now, id, report)                // on each load report of a target
+//	option, ok := b.Pick(now, hall, options) // considers the lowest tier only
 //	ticket := b.Sent(now, option)
-//	b.Began(now, ticket)                     // the first byte
+//	b.Began(now, ticket)                     // on the first byte of the answer
 //	b.Ended(now, ticket)
 package routing
--- a/routing/steps.go
+++ b/routing/steps.go
@@ -7,27 +7,28 @@
 	"clovertrail.dev/core/domain"
 )
 
-// steps is how long the steps of a group are, as the pauses between events of its
-// streams show. It says more than what the ranks report: a slow rank need not make the
-// steps of its group long if it is given less to do.
+// steps is the length of a group's steps, as estimated from the pauses between events of its
+// streams. It is more reliable than the slowdown that ranks report: a slow rank need not make the
+// steps of its group long if it gets less work.
 type steps struct {
-	pauses float64 // mean pause, as a share of the longest in time
+	pauses float64 // mean pause, as a share of the longest pause that is in time
 	at     time.Time
 }
 
 const (
-	// stepsSmoothing is the time over which pauses are averaged: a few steps, and less
+	// stepsSmoothing is the time constant over which pauses are averaged: a few steps, and less
 	// than the second in which a group that gets twice its load fills its slots.
 	stepsSmoothing = 300 * time.Millisecond
-	// stepsFresh is how long pauses count after the last that was seen.
+	// stepsFresh is how long the mean of the pauses is used after the last pause.
 	stepsFresh = time.Second
-	// stepsKept is how long pauses that no longer count are kept: long after a group is
-	// formed anew.
-	stepsKept = time.Minute
+	// stepsRetention is how long pauses that are no longer used are stored: much longer than it
+	// takes to form a group again.
+	stepsRetention = time.Minute
 )
 
-// paused takes a pause, as a share of the longest in time. The first counts whole.
-func (s *steps) paused(now time.Time, share float64) {
+// recordPause adds a pause, as a share of the longest pause that is in time. The first pause
+// replaces the initial value entirely.
+func (s *steps) recordPause(now time.Time, share float64) {
 	passed := now.Sub(s.at)
 	weight := 1 - math.Exp(-float64(passed)/float64(stepsSmoothing))
 	s.pauses += weight * (share - s.pauses)
@@ -36,10 +37,10 @@
 
 func (s *steps) fresh(now time.Time) bool { return now.Sub(s.at) <= stepsFresh }
 
-// RecordPause takes the time between two events of a stream of the option, and the longest
-// that is in time; 0 for none. Only what steps in a group is followed.
-func (b *Balancer) RecordPause(now time.Time, o Option, pause, aim time.Duration) {
-	if aim <= 0 || o.Group == "" {
+// RecordPause records the time between two events of a stream of the option. longest is the longest
+// pause that is in time, and 0 if the route sets none. Pauses of targets without a group are ignored.
+func (b *Balancer) RecordPause(now time.Time, o Option, pause, longest time.Duration) {
+	if longest <= 0 || o.Group == "" {
 		return
 	}
 	s, ok := b.steps[o.Group]
@@ -47,33 +48,33 @@
 		s = &steps{}
 		b.steps[o.Group] = s
 	}
-	s.paused(now, float64(pause)/float64(aim))
+	s.recordPause(now, float64(pause)/float64(longest))
 }
 
-// slowBy is how many times the pace of the fastest rank of its group a rank must have to
-// be left out. A rank that runs any stream has to make the fixed part of each step, which
-// for a slow one takes longer by its pace, and the whole group waits for it (docs/EXPERTS.md). A
-// rank left out costs the others no more than its share of the streams.
-const slowBy = 1.25
+// maxRelativeSlowdown is the largest slowdown of a rank, relative to the fastest rank of its group,
+// with which the rank still gets requests. A rank that runs any stream has to execute the fixed part
+// of each step, which takes a slow rank longer by its slowdown, and the whole group waits for it
+// (docs/EXPERTS.md). Leaving a rank out costs the others no more than its share of the streams.
+const maxRelativeSlowdown = 1.25
 
-// brisk leaves out the ranks that would make the steps of their groups longer. Experts
-// are still placed on them, fewer (experts/rebalance).
-func (b *Balancer) brisk(options []Option) []Option {
+// withoutSlowRanks removes the ranks that would lengthen the steps of their groups. Experts are
+// still placed on these ranks, but fewer (experts/rebalance).
+func (b *Balancer) withoutSlowRanks(options []Option) []Option {
 	fastest := map[domain.GroupName]float64{}
 	slow := false
 	for _, o := range options {
-		pace := b.load(o.ID).pace
-		if f, ok := fastest[o.Group]; !ok || pace < f {
-			fastest[o.Group] = pace
+		slowdown := b.load(o.ID).slowdown
+		if f, ok := fastest[o.Group]; !ok || slowdown < f {
+			fastest[o.Group] = slowdown
 		}
-		slow = slow || pace > slowBy
+		slow = slow || slowdown > maxRelativeSlowdown
 	}
 	if !slow {
 		return options
 	}
 	var kept []Option
 	for _, o := range options {
-		if o.Group == "" || b.load(o.ID).pace <= slowBy*fastest[o.Group] {
+		if o.Group == "" || b.load(o.ID).slowdown <= maxRelativeSlowdown*fastest[o.Group] {
 			kept = append(kept, o)
 		}
 	}
@@ -81,9 +82,9 @@
 }
 
 // IsStraggler reports whether the option makes the steps of its group too long for the streams of
-// all ranks while others of the group, among the options, would not. A slow rank gets no
-// new streams, but those that it has hold all others up until they end. A limited target does not count: a stream that is moved may get no
-// permit, and would be cut.
+// all ranks while other ranks of the group, among the options, would not. A slow rank gets no new
+// streams, but its running streams delay all others until they end. Limited targets do not count as
+// alternatives: a stream that is moved may get no permit, and would be cut.
 func (b *Balancer) IsStraggler(now time.Time, o Option, options []Option) bool {
 	s, ok := b.steps[o.Group]
 	if o.Group == "" || !ok || !s.fresh(now) || s.pauses <= 1 {
@@ -92,16 +93,16 @@
 	fastest := math.Inf(1)
 	for _, x := range options {
 		if x.Group == o.Group && x.ID != o.ID && !x.Limited {
-			fastest = min(fastest, b.load(x.ID).pace)
+			fastest = min(fastest, b.load(x.ID).slowdown)
 		}
 	}
-	return b.load(o.ID).pace > slowBy*fastest
+	return b.load(o.ID).slowdown > maxRelativeSlowdown*fastest
 }
 
-// IsStepping reports that the option's group is seen to step, or that it stands alone: while a
-// group stands still, what goes wrong at one rank is not that rank's fault. Long steps do
-// not excuse a rank: while demand shifts they are long everywhere, and a rank that answers nobody
-// would be found seconds later.
+// IsStepping reports whether the option's group has recently been observed to run steps; it is true
+// for targets without a group. While a group stands still, a failure at one rank is not that rank's
+// fault. Long steps do not excuse a rank: while demand shifts, steps are long everywhere, and a rank
+// that answers no requests would be detected seconds later.
 func (b *Balancer) IsStepping(now time.Time, o Option) bool {
 	if o.Group == "" {
 		return true
@@ -110,18 +111,17 @@
 	return ok && s.fresh(now)
 }
 
-// step is how long the group's steps are, as a share of the longest pause in time.
-// Where none were seen lately it is the usual one, longer by the pace of the slowest
-// rank.
-func (b *Balancer) step(now time.Time, group []Option, usual float64) float64 {
+// stepLength returns the length of the group's steps, as a share of the longest pause that is in
+// time. Without recent pauses it is the usual length times the slowdown of the slowest rank.
+func (b *Balancer) stepLength(now time.Time, group []Option, usual float64) float64 {
 	if s, ok := b.steps[group[0].Group]; ok && s.fresh(now) {
 		return s.pauses
 	}
-	return usual * b.pace(group)
+	return usual * b.maxSlowdown(group)
 }
 
-// usualStep is the mean step of the groups whose streams were seen lately.
-func (b *Balancer) usualStep(now time.Time, groups map[domain.GroupName][]Option) float64 {
+// meanStep returns the mean step length of the groups with recent pauses, and 1 if there are none.
+func (b *Balancer) meanStep(now time.Time, groups map[domain.GroupName][]Option) float64 {
 	sum, n := 0.0, 0
 	for name := range groups {
 		if s, ok := b.steps[name]; ok && s.fresh(now) {
@@ -135,10 +135,10 @@
 	return sum / float64(n)
 }
 
-// forgetSteps drops those of which nothing was seen for long.
+// forgetSteps drops groups without pauses for stepsRetention.
 func (b *Balancer) forgetSteps(now time.Time) {
 	for name, s := range b.steps {
-		if now.Sub(s.at) > stepsKept {
+		if now.Sub(s.at) > stepsRetention {
 			delete(b.steps, name)
 		}
 	}
