--- a/routing/balancer_test.go
+++ b/routing/balancer_test.go
@@ -20,11 +20,11 @@
 	return routing.Option{ID: domain.InstanceID(id), Hall: domain.HallName(hall), Group: domain.GroupName(group), Slots: 4}
 }
 
-func alone() []routing.Option {
+func ungrouped() []routing.Option {
 	return []routing.Option{option("a", "near", ""), option("b", "far", ""), option("c", "far", "")}
 }
 
-// spread sends so many requests and reports how many each target got.
+// spread sends n requests and returns how many of them each target got.
 func spread(b *routing.Balancer, options []routing.Option, n int) map[domain.InstanceID]int {
 	got := map[domain.InstanceID]int{}
 	for range n {
@@ -38,8 +38,8 @@
 	return got
 }
 
-func TestRequestsGoToTheLeastLoaded(t *testing.T) {
-	got := spread(newBalancer(), alone(), 30)
+func TestPickBalancesByLeastLoad(t *testing.T) {
+	got := spread(newBalancer(), ungrouped(), 30)
 	for id, n := range got {
 		if n != 10 {
 			t.Errorf("%s got %d of 30", id, n)
@@ -47,27 +47,27 @@
 	}
 }
 
-func TestTheOwnHallGoesFirstWhileItIsAsFree(t *testing.T) {
+func TestPickPrefersIdleTargetOfSameHall(t *testing.T) {
 	b := newBalancer()
 	for range 20 {
-		if o, _ := b.Pick(start, "near", alone()); o.ID != "a" {
-			t.Fatalf("an idle target of the own hall was passed by for %s", o.ID)
+		if o, _ := b.Pick(start, "near", ungrouped()); o.ID != "a" {
+			t.Fatalf("picked %s instead of an idle target of the same hall", o.ID)
 		}
 	}
 }
 
-func TestReportsOfOthersWorkCountAndFade(t *testing.T) {
+func TestReportedLoadCountsAndDecays(t *testing.T) {
 	b := newBalancer()
 	b.Report(start, "a", routing.Report{Running: 4, Waiting: 8})
-	if o, _ := b.Pick(start, "near", alone()); o.ID == "a" {
-		t.Error("a full target was chosen")
+	if o, _ := b.Pick(start, "near", ungrouped()); o.ID == "a" {
+		t.Error("picked a target whose slots are full")
 	}
-	if o, _ := b.Pick(start.Add(20*time.Second), "near", alone()); o.ID != "a" {
-		t.Error("an old report still counts")
+	if o, _ := b.Pick(start.Add(20*time.Second), "near", ungrouped()); o.ID != "a" {
+		t.Error("a report still counts after 20 s")
 	}
 }
 
-func TestOwnRequestsAreNotCountedTwice(t *testing.T) {
+func TestReportExcludesOwnRequests(t *testing.T) {
 	b := newBalancer()
 	o := option("a", "near", "")
 	for range 3 {
@@ -75,23 +75,23 @@
 	}
 	b.Report(start, "a", routing.Report{Running: 3})
 	if fill := b.Utilisation(start, []routing.Option{o}); fill != 0.75 {
-		t.Errorf("filled to %v, want 0.75", fill)
+		t.Errorf("utilisation is %v, want 0.75", fill)
 	}
 }
 
-func TestOnlyTheMostTrustedTierIsUsed(t *testing.T) {
-	options := alone()
+func TestPickUsesLowestTierOnly(t *testing.T) {
+	options := ungrouped()
 	options[0].Tier = 1
 	if got := spread(newBalancer(), options, 40); got["a"] != 0 {
-		t.Errorf("got %v", got)
+		t.Errorf("requests by target: %v", got)
 	}
 	options[1].Tier, options[2].Tier = 2, 2
 	if got := spread(newBalancer(), options, 40); got["a"] != 40 {
-		t.Errorf("got %v", got)
+		t.Errorf("requests by target: %v", got)
 	}
 }
 
-func TestGroupsAreLoadedAsWholes(t *testing.T) {
+func TestPickComparesLoadOfWholeGroups(t *testing.T) {
 	var options []routing.Option
 	for g := range 2 {
 		for r := range 4 {
@@ -99,7 +99,7 @@
 		}
 	}
 	b := newBalancer()
-	for r := range 4 { // the ranks of one group are busy but for one
+	for r := range 4 { // all ranks of group g0 but the first are busy
 		if r > 0 {
 			b.Report(start, domain.InstanceID(fmt.Sprintf("g0-%d", r)), routing.Report{Running: 4})
 		}
@@ -107,13 +107,13 @@
 	for range 8 {
 		o, _ := b.Pick(start, "near", options)
 		if o.Group != "g1" {
-			t.Fatalf("the idle rank of the busy group was chosen: %s", o.ID)
+			t.Fatalf("picked the idle rank %s of the busy group", o.ID)
 		}
 		b.Sent(start, o)
 	}
 }
 
-func TestASlowGroupGetsLess(t *testing.T) {
+func TestSlowGroupGetsFewerRequests(t *testing.T) {
 	var options []routing.Option
 	for g := range 2 {
 		for r := range 4 {
@@ -121,7 +121,7 @@
 		}
 	}
 	b := newBalancer()
-	for r := range 4 { // one slow rank alone is left out: TestSlowRanksAreLeftOut
+	for r := range 4 { // a single slow rank would get nothing: TestPickSkipsSlowRanks
 		b.Report(start, domain.InstanceID(fmt.Sprintf("g0-%d", r)), routing.Report{Slowdown: 3})
 	}
 	n := 0
@@ -131,47 +131,47 @@
 		}
 	}
 	if n < 2 || n > 6 {
-		t.Errorf("a group of a third of the pace got %d of 16", n)
+		t.Errorf("a group with a slowdown of 3 got %d of 16 requests", n)
 	}
 }
 
-func TestTheExpectedBeginningGrowsOnceSlotsAreFull(t *testing.T) {
+func TestEstimateFirstByteGrowsOnceSlotsAreFull(t *testing.T) {
 	b := newBalancer()
 	o := option("a", "near", "")
 	_, wait := b.EstimateFirstByte(start, o)
 	if wait != 0 {
-		t.Errorf("an idle target lets wait %v", wait)
+		t.Errorf("expected wait at an idle target is %v, want 0", wait)
 	}
 	for range 4 {
 		b.Sent(start, o)
 	}
 	total, wait := b.EstimateFirstByte(start, o)
 	if wait <= 0 || total <= wait {
-		t.Errorf("full: begins after %v, of it %v waiting", total, wait)
+		t.Errorf("full target: first byte expected after %v, including a wait of %v", total, wait)
 	}
 }
 
-func TestBeginningsAreLearnt(t *testing.T) {
+func TestEstimateFirstByteFollowsSamples(t *testing.T) {
 	b := newBalancer()
 	o := option("a", "near", "")
 	for range 60 {
 		k := b.Sent(start, o)
 		b.Began(start.Add(400*time.Millisecond), k)
-		b.Began(start.Add(9*time.Second), k) // only the first counts
+		b.Began(start.Add(9*time.Second), k) // only the first call counts
 		b.Ended(start.Add(500*time.Millisecond), k)
-		b.Ended(start.Add(500*time.Millisecond), k) // only once
+		b.Ended(start.Add(500*time.Millisecond), k) // counted once
 	}
 	if total, _ := b.EstimateFirstByte(start, o); total < 380*time.Millisecond || total > 420*time.Millisecond {
-		t.Errorf("begins after %v, want about 400ms", total)
+		t.Errorf("first byte expected after %v, want about 400ms", total)
 	}
 	if b.InFlight("a") != 0 {
-		t.Errorf("%d requests are left open", b.InFlight("a"))
+		t.Errorf("%d requests are still in flight, want 0", b.InFlight("a"))
 	}
 }
 
-func TestNothingToPickFrom(t *testing.T) {
+func TestPickWithoutOptions(t *testing.T) {
 	if _, ok := newBalancer().Pick(start, "near", nil); ok {
-		t.Error("picked from nothing")
+		t.Error("picked a target without options")
 	}
 }
 
@@ -183,9 +183,9 @@
 	// Output: idle
 }
 
-// TestManyBoxesDoNotAllTakeTheSameTarget: between two reports every box sees the same
-// target as the least loaded one.
-func TestManyBoxesDoNotAllTakeTheSameTarget(t *testing.T) {
+// TestManyBoxesSpreadOverTargets guards against herding: between two reports all boxes see the same
+// target as the least loaded.
+func TestManyBoxesSpreadOverTargets(t *testing.T) {
 	const targets = 32
 	most := func(boxes int) int {
 		taken := map[domain.InstanceID]int{}
@@ -198,33 +198,33 @@
 				options = append(options, routing.Option{ID: id, Group: "g", Slots: 10})
 				b.Report(start, id, routing.Report{Running: 5 + i%4})
 			}
-			b.Report(start, "t-7", routing.Report{Running: 1}) // the least of all
+			b.Report(start, "t-7", routing.Report{Running: 1}) // the least loaded
 			o, _ := b.Pick(start, "h", options)
 			taken[o.ID]++
 		}
 		return slices.Max(slices.Collect(maps.Values(taken)))
 	}
 	if n := most(4); n != 4 {
-		t.Errorf("%d of 4 boxes took the least loaded target, want all", n)
+		t.Errorf("%d of 4 boxes picked the least loaded target, want all", n)
 	}
 	if n := most(40); n > 40/2 {
-		t.Errorf("%d of 40 boxes took the same target", n)
+		t.Errorf("%d of 40 boxes picked the same target, want at most 20", n)
 	}
 }
 
-// TestRequestsStayInTheirHallWhileItsGroupHasRoom: bytes between halls cost, and a group
-// with room serves in time.
-func TestRequestsStayInTheirHallWhileItsGroupHasRoom(t *testing.T) {
+// TestPickStaysInHallWhileItsGroupHasCapacity: traffic between halls has a cost, and a group with
+// spare capacity serves in time.
+func TestPickStaysInHallWhileItsGroupHasCapacity(t *testing.T) {
 	ms := time.Millisecond
 	for name, tt := range map[string]struct {
-		running int // at each rank of the own hall's group
+		running int // at each rank of the group in the own hall
 		pause   time.Duration
 		want    domain.GroupName
 	}{
-		"room":                {4, 50 * ms, "own"},
-		"many requests":       {7, 50 * ms, "other"},
-		"long steps":          {4, 100 * ms, "other"},
-		"nothing to do there": {0, 50 * ms, "own"},
+		"spare capacity": {4, 50 * ms, "own"},
+		"many requests":  {7, 50 * ms, "other"},
+		"long steps":     {4, 100 * ms, "other"},
+		"idle group":     {0, 50 * ms, "own"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBalancer()
@@ -243,10 +243,10 @@
 				if o.Group == "other" {
 					pause = 40 * ms
 				}
-				b.RecordPause(start, o, pause, gapAim)
+				b.RecordPause(start, o, pause, longestPause)
 			}
 			if got, _ := b.Pick(start, "near", options); got.Group != tt.want {
-				t.Errorf("group %s", got.Group)
+				t.Errorf("picked group %s, want %s", got.Group, tt.want)
 			}
 		})
 	}
--- a/routing/groups_test.go
+++ b/routing/groups_test.go
@@ -8,17 +8,18 @@
 	"clovertrail.dev/routing"
 )
 
-// TestAmongGroupsWithRoomOneIsDrawn: no group that stands in many halls is taken by all
-// boxes at once because it looks least loaded; one without room is left alone.
-func TestAmongGroupsWithRoomOneIsDrawn(t *testing.T) {
+// TestPickDrawsAmongGroupsWithCapacity guards against herding: a group over several halls must not be
+// picked by all boxes at once because it looks least loaded. A group without spare capacity is only
+// picked if no group has any.
+func TestPickDrawsAmongGroupsWithCapacity(t *testing.T) {
 	for name, tt := range map[string]struct {
-		running     map[domain.GroupName]int // at each rank
-		least, most float64                  // share of picks that go to group a
+		running     map[domain.GroupName]int // requests at each rank
+		least, most float64                  // bounds of the share of picks that go to group a
 	}{
-		"alike":                     {map[domain.GroupName]int{"a": 3, "b": 3}, 0.45, 0.55},
-		"one has more free":         {map[domain.GroupName]int{"a": 1, "b": 5}, 0.60, 0.75},
-		"one has no room":           {map[domain.GroupName]int{"a": 1, "b": 8}, 1, 1},
-		"neither: the least loaded": {map[domain.GroupName]int{"a": 9, "b": 8}, 0, 0},
+		"equal load":                                   {map[domain.GroupName]int{"a": 3, "b": 3}, 0.45, 0.55},
+		"a has more free slots":                        {map[domain.GroupName]int{"a": 1, "b": 5}, 0.60, 0.75},
+		"b has no spare capacity":                      {map[domain.GroupName]int{"a": 1, "b": 8}, 1, 1},
+		"neither has spare capacity, b is less loaded": {map[domain.GroupName]int{"a": 9, "b": 8}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBalancer()
@@ -27,7 +28,7 @@
 				o.Slots = 10
 				options = append(options, o)
 				b.Report(start, o.ID, routing.Report{Running: tt.running[o.Group], Slowdown: 1})
-				b.RecordPause(start, o, 50*time.Millisecond, gapAim)
+				b.RecordPause(start, o, 50*time.Millisecond, longestPause)
 			}
 			const picks = 2000
 			a := 0
