--- a/retry/budget.go
+++ b/retry/budget.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Budget is what retries are paid from; *Budget is one.
+// Budget limits the retries of requests. TokenBudget implements it.
 type Budget interface {
-	// AddRequest counts a request that arrived.
+	// AddRequest records that a request arrived.
 	AddRequest(now time.Time)
-	// SpendRetry spends one retry, and reports whether there was one.
+	// SpendRetry charges one retry to the budget. It returns false, and charges nothing, if the
+	// budget is exhausted.
 	SpendRetry(now time.Time) bool
 }
 
-// TokenBudget limits retries to a share of requests, so that when much fails the
-// targets that remain are not met by a storm. It is not safe for concurrent use.
+// TokenBudget limits retries to a share of requests, which prevents retry storms on the remaining
+// targets when many requests fail. It is not safe for concurrent use.
 type TokenBudget struct {
-	share   float64
-	minRate float64
-	cap     float64
-	tokens  float64
+	share   float64 // retries per request
+	minRate float64 // retries a second that do not depend on requests
+	cap     float64 // most unspent retries
+	tokens  float64 // unspent retries
 	last    time.Time
 }
 
-// NewTokenBudget returns a budget that allows share retries for each request, and
-// minPerSecond besides so that a quiet box can retry at all. Unspent retries are
-// kept up to ten seconds' worth of minPerSecond.
+// NewTokenBudget returns a budget that allows share retries for each request, and minPerSecond
+// retries a second in addition, so that a box with few requests can retry at all. Unspent retries
+// accumulate up to ten seconds' worth of minPerSecond.
 func NewTokenBudget(share, minPerSecond float64) *TokenBudget {
 	b := &TokenBudget{share: share}
 	b.SetMinRate(minPerSecond)
@@ -30,26 +31,26 @@
 	return b
 }
 
-// SetMinRate changes how many retries a second are free, as when more boxes share
-// what is allowed.
+// SetMinRate changes the number of retries a second that do not depend on requests, for example when
+// more boxes share the total.
 func (b *TokenBudget) SetMinRate(perSecond float64) {
 	const seconds = 10
 	b.minRate, b.cap = perSecond, perSecond*seconds
 	b.tokens = min(b.tokens, b.cap)
 }
 
-// SetShare changes how many retries each request pays for.
+// SetShare changes the number of retries that each request adds.
 func (b *TokenBudget) SetShare(share float64) { b.share = share }
 
-// Request counts a request that arrived.
+// AddRequest implements Budget.
 func (b *TokenBudget) Request(now time.Time) {
-	b.fill(now)
+	b.refill(now)
 	b.tokens = min(b.cap, b.tokens+b.share)
 }
 
-// Take spends one retry, and reports whether there was one.
+// SpendRetry implements Budget.
 func (b *TokenBudget) Take(now time.Time) bool {
-	b.fill(now)
+	b.refill(now)
 	if b.tokens < 1 {
 		return false
 	}
@@ -57,7 +58,8 @@
 	return true
 }
 
-func (b *TokenBudget) fill(now time.Time) {
+// refill adds the retries of minRate since the last call.
+func (b *TokenBudget) refill(now time.Time) {
 	if !b.last.IsZero() && now.After(b.last) {
 		b.tokens = min(b.cap, b.tokens+now.Sub(b.last).Seconds()*b.minRate)
 	}
--- a/retry/command.go
+++ b/retry/command.go
@@ -6,31 +6,31 @@
 	"clovertrail.dev/core/fault"
 )
 
-// Command is what the owner of a Course must do next. The set is closed: Try, Deliver,
+// Command is the next action that the owner of a Machine must take. The set is closed: Try, Deliver,
 // Refuse and Abort.
 type Command interface{ command() }
 
-// Try asks for the request to be sent to a target, best to one not yet tried.
+// Try requests another attempt, preferably at a target that has not been tried yet.
 type Try struct {
 	// Attempt counts from 1.
 	Attempt int
-	// Resume tells to ask for what follows the last event that the caller has.
+	// Resume reports that the target must continue the stream after the last event that the caller has.
 	Resume bool
-	// FirstByteDeadline is when to give the attempt up if its answer has not begun; zero for
-	// never before the deadline.
+	// FirstByteDeadline is the time at which the attempt is cancelled unless its answer has begun.
+	// If it is zero, only the deadline of the request applies.
 	FirstByteDeadline time.Time
-	// Movable reports that the answer, once the caller has a part of it, may be taken up at
-	// another target while this one still gives it.
+	// Movable reports that a stream of which the caller has a part may be moved to another target
+	// while this target is still sending it.
 	Movable bool
 }
 
-// Abort ends the machine: the caller has part of the answer and gets no more.
+// Abort ends the machine: the caller has part of the answer, which must be broken off.
 type Abort struct{ Err *fault.Error }
 
-// Deliver ends the machine: the answer belongs to the caller.
+// Deliver ends the machine: the answer of the target goes to the caller.
 type Deliver struct{}
 
-// Refuse ends the machine: the caller is answered with the error's kind.
+// Refuse ends the machine: the caller gets an error answer of Err's kind.
 type Refuse struct{ Err *fault.Error }
 
 func (Deliver) command() {}
--- /dev/null
+++ b/retry/machine_test.go
@@ -0,0 +1,283 @@
+package retry_test
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"clovertrail.dev/core/fault"
+	"clovertrail.dev/retry"
+)
+
+// fakeBudget allows a fixed number of retries.
+type fakeBudget struct{ left int }
+
+func (*fakeBudget) AddRequest(time.Time) {}
+
+func (b *fakeBudget) SpendRetry(time.Time) bool {
+	if b.left == 0 {
+		return false
+	}
+	b.left--
+	return true
+}
+
+var (
+	errLost  = errors.New("connection reset")
+	declined = retry.Declined{Err: fault.New(fault.Overloaded, "busy")}
+)
+
+const (
+	once   = iota // a request that may run only once
+	repeat        // a request that may run more than once
+	resume        // a stream that may be resumed
+)
+
+func rules(kind int) retry.Rules {
+	return retry.Rules{
+		Repeat: kind != once, Resume: kind == resume, MaxAttempts: 2,
+		Deadline: begin.Add(8 * time.Second), FirstByteTimeout: time.Second,
+	}
+}
+
+var begin = time.Unix(1_800_000_000, 0)
+
+// summary describes a command in a few words.
+func summary(c retry.Command) string {
+	switch c := c.(type) {
+	case retry.Try:
+		if c.Resume {
+			return "resume"
+		}
+		return "try"
+	case retry.Deliver:
+		return "deliver"
+	case retry.Refuse:
+		return "refuse " + string(c.Err.Kind())
+	case retry.Abort:
+		return "abort " + string(c.Err.Kind())
+	default:
+		return fmt.Sprintf("%T", c)
+	}
+}
+
+func TestMachineCommands(t *testing.T) {
+	forwarded := retry.Broken{Err: errLost, Forwarded: true}
+	notForwarded := retry.Broken{Err: errLost}
+	tests := []struct {
+		name     string
+		kind     int
+		retries  int // in the budget
+		outcomes []retry.Outcome
+		want     []string // the command after each outcome
+	}{
+		{"answered", once, 0, []retry.Outcome{retry.Answered{}}, []string{"deliver"}},
+		{"lost, once only", once, 9, []retry.Outcome{retry.Lost{Err: errLost}}, []string{"refuse fate_unknown"}},
+		{"declined, once only", once, 9, []retry.Outcome{declined, declined}, []string{"try", "refuse overloaded"}},
+		{"declined, then lost, once only", once, 9, []retry.Outcome{declined, retry.Lost{Err: errLost}}, []string{"try", "refuse fate_unknown"}},
+		{"broken, once only", once, 9, []retry.Outcome{notForwarded}, []string{"refuse interrupted"}},
+		{"broken after forwarding, once only", once, 9, []retry.Outcome{forwarded}, []string{"abort interrupted"}},
+		{"failed, once only", once, 9, []retry.Outcome{retry.Failed{Status: 500}}, []string{"deliver"}},
+		{"not sent three times", once, 0, []retry.Outcome{retry.NotSent{Err: errLost}, retry.NotSent{Err: errLost}, retry.NotSent{Err: errLost}},
+			[]string{"try", "try", "refuse not_sent"}},
+		{"lost and repeated", repeat, 1, []retry.Outcome{retry.Lost{Err: errLost}, retry.Answered{}}, []string{"try", "deliver"}},
+		{"lost without budget", repeat, 0, []retry.Outcome{retry.Lost{Err: errLost}}, []string{"refuse fate_unknown"}},
+		{"lost, then declined", repeat, 9, []retry.Outcome{retry.Lost{Err: errLost}, declined}, []string{"try", "refuse fate_unknown"}},
+		{"moved, with an exhausted budget", resume, 0, []retry.Outcome{retry.Moved{}, retry.Answered{}}, []string{"resume", "deliver"}},
+		{"moved, then broken", resume, 9, []retry.Outcome{retry.Moved{}, retry.Broken{Err: errLost, Forwarded: true}}, []string{"resume", "abort interrupted"}},
+		{"timed out and repeated", repeat, 1, []retry.Outcome{retry.FirstByteTimedOut{}, retry.Answered{}}, []string{"try", "deliver"}},
+		{"failed and repeated", repeat, 1, []retry.Outcome{retry.Failed{Status: 500}, retry.Failed{Status: 500}}, []string{"try", "deliver"}},
+		{"failed without budget", repeat, 0, []retry.Outcome{retry.Failed{Status: 500}}, []string{"deliver"}},
+		{"broken before forwarding", resume, 1, []retry.Outcome{notForwarded, retry.Answered{}}, []string{"try", "deliver"}},
+		{"broken and resumed", resume, 1, []retry.Outcome{forwarded, retry.Answered{}}, []string{"resume", "deliver"}},
+		{"broken, not resumable", repeat, 9, []retry.Outcome{forwarded}, []string{"abort interrupted"}},
+		{"broken twice", resume, 9, []retry.Outcome{forwarded, forwarded}, []string{"resume", "abort interrupted"}},
+		{"resumed at a target that declines", resume, 9, []retry.Outcome{forwarded, declined}, []string{"resume", "abort overloaded"}},
+		{"resumed at a target that fails", resume, 9, []retry.Outcome{forwarded, retry.Failed{Status: 500}}, []string{"resume", "abort target_failed"}},
+		{"resumed at an unreachable target", resume, 9, []retry.Outcome{forwarded, retry.NotSent{Err: errLost}}, []string{"resume", "resume"}},
+		{"expired during the first attempt", once, 0, []retry.Outcome{retry.Expired{}}, []string{"refuse timed_out"}},
+		{"expired after forwarding", resume, 9, []retry.Outcome{forwarded, retry.Expired{}}, []string{"resume", "abort timed_out"}},
+	}
+	for _, tc := range tests {
+		t.Run(tc.name, func(t *testing.T) {
+			m := retry.NewMachine(rules(tc.kind), &fakeBudget{left: tc.retries})
+			if got := summary(m.Start(begin)); got != "try" {
+				t.Fatalf("first command is %s, want try", got)
+			}
+			for i, o := range tc.outcomes {
+				if got := summary(m.Ended(begin, o)); got != tc.want[i] {
+					t.Errorf("after %T: %s, want %s", o, got, tc.want[i])
+				}
+			}
+		})
+	}
+}
+
+func TestNoAttemptAfterDeadline(t *testing.T) {
+	m := retry.NewMachine(rules(repeat), &fakeBudget{left: 9})
+	if got := summary(m.Start(begin.Add(9 * time.Second))); got != "refuse deadline_unmeetable" {
+		t.Errorf("got %s", got)
+	}
+	m = retry.NewMachine(rules(repeat), &fakeBudget{left: 9})
+	m.Start(begin)
+	if got := summary(m.Ended(begin.Add(9*time.Second), retry.Lost{Err: errLost})); got != "refuse fate_unknown" {
+		t.Errorf("got %s", got)
+	}
+}
+
+func TestFirstByteDeadlineOnlyIfRetryIsPossible(t *testing.T) {
+	tests := []struct {
+		name  string
+		kind  int
+		first bool // else the second attempt is looked at
+		want  bool
+	}{
+		{"first of two", repeat, true, true},
+		{"last of two", repeat, false, false},
+		{"once only", once, true, false},
+	}
+	for _, tc := range tests {
+		m := retry.NewMachine(rules(tc.kind), &fakeBudget{left: 9})
+		cmd := m.Start(begin)
+		if !tc.first {
+			cmd = m.Ended(begin, retry.Lost{Err: errLost})
+		}
+		if at := cmd.(retry.Try).FirstByteDeadline; at.IsZero() == tc.want {
+			t.Errorf("%s: first byte deadline is %v, want one: %v", tc.name, at, tc.want)
+		}
+	}
+}
+
+func TestRefusalKeepsRetryAfterOfTarget(t *testing.T) {
+	at := begin.Add(3 * time.Second)
+	m := retry.NewMachine(rules(once), &fakeBudget{})
+	m.Start(begin)
+	cmd := m.Ended(begin, retry.Declined{Err: fault.New(fault.Overloaded, "busy").RetryAt(at)})
+	if got := cmd.(retry.Refuse).Err.When(); !got.Equal(at) {
+		t.Errorf("retry at %v, want %v", got, at)
+	}
+}
+
+// TestRefusalOfRequestNotRunStatesRetryAfter: this includes requests for which no target could be
+// reached, so that no target stated when to retry.
+func TestRefusalOfRequestNotRunStatesRetryAfter(t *testing.T) {
+	notSent := retry.NotSent{Err: errLost}
+	for name, outcomes := range map[string][]retry.Outcome{
+		"no target could be reached": {notSent, notSent, notSent},
+		"a target declined":          {declined, declined},
+		"the deadline passed":        {retry.Expired{}},
+	} {
+		m := retry.NewMachine(rules(once), &fakeBudget{left: 9})
+		cmd := m.Start(begin)
+		for _, o := range outcomes {
+			cmd = m.Ended(begin, o)
+		}
+		f, refused := cmd.(retry.Refuse)
+		if !refused || f.Err.Kind().Answer().Ran() == fault.RanNo && !f.Err.When().After(begin) {
+			t.Errorf("%s: %s, retry at %v", name, summary(cmd), f.Err.When())
+		}
+	}
+}
+
+// TestNotRunIsReportedOnlyWithProof draws random outcomes and checks that a request is refused as
+// "not run" only if no attempt can have run; that a request that may run once has at most one attempt
+// that can have run; and that no more attempts reach a target than are allowed.
+func TestNotRunIsReportedOnlyWithProof(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		kind := rapid.IntRange(once, resume).Draw(rt, "kind")
+		r := rules(kind)
+		r.MaxAttempts = rapid.IntRange(1, 4).Draw(rt, "attempts")
+		m := retry.NewMachine(r, &fakeBudget{left: rapid.IntRange(0, 5).Draw(rt, "retries")})
+		now := begin
+		cmd := m.Start(now)
+		mayHaveRun, reached := 0, 0
+		for range 12 {
+			if _, ok := cmd.(retry.Try); !ok {
+				break
+			}
+			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * time.Millisecond)
+			outcomes := []retry.Outcome{
+				retry.Answered{}, retry.NotSent{Err: errLost}, declined, retry.Failed{Status: 500},
+				retry.Lost{Err: errLost}, retry.FirstByteTimedOut{}, retry.Broken{Err: errLost}, retry.Broken{Err: errLost, Forwarded: true}, retry.Expired{},
+			}
+			o := rapid.SampledFrom(outcomes).Draw(rt, "outcome")
+			switch o.(type) {
+			case retry.NotSent:
+			case retry.Declined:
+				reached++
+			default:
+				reached++
+				mayHaveRun++
+			}
+			cmd = m.Ended(now, o)
+		}
+		if _, open := cmd.(retry.Try); open {
+			rt.Fatal("the machine still asks for an attempt after twelve attempts")
+		}
+		if f, ok := cmd.(retry.Refuse); ok && f.Err.Kind().Answer().Ran() == fault.RanNo && mayHaveRun > 0 {
+			rt.Fatalf("refused as %s after %d attempts that may have run", f.Err.Kind(), mayHaveRun)
+		}
+		if kind == once && mayHaveRun > 1 {
+			rt.Fatalf("%d attempts may have run, but the request may run only once", mayHaveRun)
+		}
+		if reached > r.MaxAttempts {
+			rt.Fatalf("%d attempts reached a target, want at most %d", reached, r.MaxAttempts)
+		}
+	})
+}
+
+// TestResolveTimeoutKeepsForwardedAnswer: an answer may begin just as the attempt times out. If a part
+// of it went to the caller, the request must not be sent again from its beginning, nor be refused as
+// if no answer had begun.
+func TestResolveTimeoutKeepsForwardedAnswer(t *testing.T) {
+	for name, tc := range map[string]struct {
+		outcome retry.Outcome
+		want    string // next command for a request that may repeat and resume
+	}{
+		"no answer":             {retry.Lost{Err: errLost}, "try"},
+		"response header only":  {retry.Broken{Err: errLost}, "try"},
+		"events were forwarded": {retry.Broken{Err: errLost, Forwarded: true}, "resume"},
+		"whole answer":          {retry.Answered{}, "deliver"},
+	} {
+		m := retry.NewMachine(rules(resume), &fakeBudget{left: 1})
+		m.Start(begin)
+		if got := summary(m.Ended(begin.Add(time.Second), retry.ResolveTimeout(tc.outcome))); got != tc.want {
+			t.Errorf("%s: %s, want %s", name, got, tc.want)
+		}
+	}
+	m := retry.NewMachine(rules(repeat), &fakeBudget{left: 1})
+	m.Start(begin)
+	got := summary(m.Ended(begin.Add(time.Second), retry.ResolveTimeout(retry.Broken{Err: errLost, Forwarded: true})))
+	if !strings.HasPrefix(got, "abort") {
+		t.Errorf("an answer that cannot be resumed: %s, want abort", got)
+	}
+}
+
+// TestBarredReportsWhatMayHaveRun: before any attempt the request did not run; after an attempt that may
+// have run its fate is unknown; and an answer of which the caller has a part is broken off.
+func TestBarredReportsWhatMayHaveRun(t *testing.T) {
+	for name, tc := range map[string]struct {
+		outcomes []retry.Outcome
+		want     string
+	}{
+		"before any attempt":                 {nil, "refuse quarantined"},
+		"after a declined attempt":           {[]retry.Outcome{declined}, "refuse quarantined"},
+		"after a lost attempt":               {[]retry.Outcome{retry.Lost{Err: errLost}}, "refuse fate_unknown"},
+		"after forwarding a part":            {[]retry.Outcome{retry.Broken{Err: errLost, Forwarded: true}}, "abort quarantined"},
+		"after an attempt that was not sent": {[]retry.Outcome{retry.NotSent{Err: errLost}}, "refuse quarantined"},
+		"after a broken attempt":             {[]retry.Outcome{retry.Broken{Err: errLost}}, "refuse fate_unknown"},
+	} {
+		m := retry.NewMachine(rules(resume), &fakeBudget{left: 9})
+		m.Start(begin)
+		for _, o := range tc.outcomes {
+			m.Ended(begin, o)
+		}
+		if got := summary(m.Barred(begin, fault.New(fault.Quarantined, "targets ended"))); got != tc.want {
+			t.Errorf("%s: %s, want %s", name, got, tc.want)
+		}
+	}
+}
--- /dev/null
+++ b/retry/outcome.go
@@ -0,0 +1,67 @@
+package retry
+
+import "clovertrail.dev/core/fault"
+
+// Outcome is the result of an attempt. The set is closed.
+type Outcome interface{ outcome() }
+
+// Answered means that the whole answer went to the caller.
+type Answered struct{}
+
+// Lost means that the request was sent and no answer began. The request may have run.
+type Lost struct{ Err error }
+
+// NotSent means that nothing of the request left this box.
+type NotSent struct{ Err error }
+
+// Declined means that the target guarantees that it did not run the request and never will.
+type Declined struct {
+	Err *fault.Error
+}
+
+// Failed means that the target ran the request and answered that it could not serve it. That answer
+// can still be delivered.
+type Failed struct{ Status int }
+
+// FirstByteTimedOut means that the attempt was cancelled because no answer had begun by its
+// FirstByteDeadline. The request may have run.
+type FirstByteTimedOut struct{}
+
+// Broken means that the answer broke off after it had begun.
+type Broken struct {
+	Err error
+	// Forwarded reports that the caller has a part of the answer.
+	Forwarded bool
+}
+
+// Moved means that the attempt was cut off in the middle of its answer so that another target can
+// continue it. The next attempt has already been charged to the budget.
+type Moved struct{}
+
+// Expired means that the deadline of the request passed.
+type Expired struct{}
+
+func (Answered) outcome()          {}
+func (Lost) outcome()              {}
+func (NotSent) outcome()           {}
+func (Declined) outcome()          {}
+func (Failed) outcome()            {}
+func (FirstByteTimedOut) outcome() {}
+func (Broken) outcome()            {}
+func (Moved) outcome()             {}
+func (Expired) outcome()           {}
+
+// ResolveTimeout returns the outcome of an attempt that was cancelled at its FirstByteDeadline and
+// then ended with the outcome o. An answer that began at the last moment counts. In particular, an
+// answer of which the caller has a part must not be treated as one that never began.
+func ResolveTimeout(o Outcome) Outcome {
+	switch o := o.(type) {
+	case Answered, Failed:
+		return o
+	case Broken:
+		if o.Forwarded {
+			return o
+		}
+	}
+	return FirstByteTimedOut{}
+}
