--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,8 +1,9 @@
-// Package admission decides at an entry box whether a request is sent on or refused at
-// once, and when its caller should come back.
+// Package admission decides at an entry box whether a request is forwarded or refused immediately, and
+// after how long a refused caller should retry.
 //
 // # Usage
 //
 //	g := admission.NewGate()
-//	ok, after := g.Admit(admission.Ask{Route: "r", Left: left, Aim: aim, Begins: b, Wait: w}, rnd.Float64())
+//	r := admission.Request{Route: "r", Remaining: remaining, FirstByteSLO: slo, FirstByte: f, Wait: w}
+//	ok, retryAfter := g.Admit(r, rnd.Float64())
 package admission
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -2,116 +2,117 @@
 
 import "time"
 
-// Gate decides at an entry box whether a request is sent on or refused at once. A
-// request that would wait longer than an answer in time allows only makes others
-// wait too; refused at once, its caller can come back when there is room.
+// Gate decides at an entry box whether a request is forwarded or refused immediately. A request that
+// would wait too long to be answered in time only makes others wait too. If it is refused
+// immediately, its caller can retry when there is capacity.
 //
-// A caller that comes back after a refusal has less time left than one that comes
-// for the first time, and goes first: callers that come for the first time leave
-// part of the waiting time to those.
+// A caller that retries after a refusal has less time left than a caller with a first try, and takes
+// precedence: first tries leave a part of the waiting time to retries.
 type Gate struct {
-	longest map[string]time.Duration // by route: the most time that a caller had
+	longest map[string]time.Duration // by route: the longest time to the deadline of any caller
 }
 
-// Request is what a Gate goes by.
+// Request is a request at a Gate.
 type Request struct {
 	Route        string
-	Remaining    time.Duration // that the caller has
-	FirstByteSLO time.Duration // within which the answer must begin to be in time; 0 for none
-	// FirstByte is after how long an answer is expected to begin, Wait how much of it the
-	// request would wait for a slot.
+	Remaining    time.Duration // time to the caller's deadline
+	FirstByteSLO time.Duration // time within which the answer must begin; 0 for none
+	// FirstByte is the expected time until the answer begins, Wait the part of it that the request
+	// would wait for a slot.
 	FirstByte, Wait time.Duration
 }
 
 const (
-	// firstShare is the part of the waiting time that callers use that come for the
-	// first time.
-	firstShare = 0.6
-	// cameBack is the share of the most time that callers of a route have below which
-	// one must have come before.
-	cameBack = 0.9
-	// heed is the share of its time within which a caller heeds when to come back.
-	heed = 1.0 / 3
-	// restSpread and outlastSpread are over which last part of the time that they heed
-	// refused callers come back.
-	restSpread, outlastSpread = 0.5, 0.0625
-	// leastRest is the least time that a refused caller is sent away for.
-	leastRest = 100 * time.Millisecond
-	// reopenSpread is over which time callers come back to a target that takes work again: a few
-	// requests of a usual one, so that those who were refused meanwhile do not all meet it at once.
+	// firstTryShare is the share of the waiting time that first tries may use.
+	firstTryShare = 0.6
+	// retryBelow is the share of the longest time to the deadline on a route below which a request
+	// counts as a retry.
+	retryBelow = 0.9
+	// maxRetryAfterShare is the largest retry-after that callers honour, as a share of their time to the
+	// deadline.
+	maxRetryAfterShare = 1.0 / 3
+	// overloadSpread and outageSpread are the last part of the time up to maxRetryAfterShare over which
+	// retries are spread.
+	overloadSpread, outageSpread = 0.5, 0.0625
+	// minRetryAfter is the shortest time after which a refused caller should retry.
+	minRetryAfter = 100 * time.Millisecond
+	// reopenSpread is the time over which retries are spread once a target takes requests again: a
+	// few requests of a usual target, so that the callers refused in the meantime do not all arrive
+	// at once.
 	reopenSpread = 250 * time.Millisecond
 )
 
-// NewGate returns a gate that has seen no request.
+// NewGate returns a gate without any routes.
 func NewGate() *Gate { return &Gate{longest: map[string]time.Duration{}} }
 
-// Admit reports whether the request is sent on; if not, after how long its caller
-// should come back. spread is from 0 up to 1 and keeps callers that were refused
-// together from coming back together.
-func (g *Gate) Admit(a Request, spread float64) (bool, time.Duration) {
-	again := g.returned(a)
-	if a.FirstByteSLO == 0 || a.Wait == 0 {
+// Admit reports whether the request is forwarded; if not, it also returns after how long the caller
+// should retry. spread is in [0, 1) and random, so that callers refused together do not retry
+// together.
+func (g *Gate) Admit(r Request, spread float64) (bool, time.Duration) {
+	retry := g.isRetry(r)
+	if r.FirstByteSLO == 0 || r.Wait == 0 {
 		return true, 0
 	}
-	room := a.FirstByteSLO - (a.FirstByte - a.Wait)
-	if !again {
-		room = time.Duration(float64(room) * firstShare)
+	maxWait := r.FirstByteSLO - (r.FirstByte - r.Wait)
+	if !retry {
+		maxWait = time.Duration(float64(maxWait) * firstTryShare)
 	}
-	if a.Wait <= room {
+	if r.Wait <= maxWait {
 		return true, 0
 	}
-	return false, RetryAfterOverload(a.Remaining, spread)
+	return false, RetryAfterOverload(r.Remaining, spread)
 }
 
-// RetryAfterOverload is after how long a refused caller should come back where there is no room: spread
-// over the latter half of the time that it heeds, so that callers that came together find
-// the room that comes.
-func RetryAfterOverload(left time.Duration, spread float64) time.Duration {
-	return later(left, spread, restSpread)
+// RetryAfterOverload returns after how long a caller should retry that was refused for lack of
+// capacity: spread over the latter half of the time that callers honour, so that callers that arrived
+// together use capacity as it becomes available.
+func RetryAfterOverload(remaining time.Duration, spread float64) time.Duration {
+	return lateRetryAfter(remaining, spread, overloadSpread)
 }
 
-// RetryAfterOutage is after how long a caller should come back where nobody serves: as late as it
-// heeds. It comes back once, nobody knows when service returns, and the longer it waits
-// the likelier it is served.
-func RetryAfterOutage(left time.Duration, spread float64) time.Duration {
-	return later(left, spread, outlastSpread)
+// RetryAfterOutage returns after how long a caller should retry if no target serves: close to the
+// longest time that callers honour. A caller retries once, the time of recovery is unknown, and a
+// later retry is more likely to be served.
+func RetryAfterOutage(remaining time.Duration, spread float64) time.Duration {
+	return lateRetryAfter(remaining, spread, outageSpread)
 }
 
-// RetryAfterReopening is after how long a caller should come back where no target takes requests: as the first
-// does again, if that is known and not later than the caller heeds, else as late as it heeds. in is
-// until then, and 0 if nobody knows.
-func RetryAfterReopening(in, left time.Duration, spread float64) time.Duration {
-	last := RetryAfterOutage(left, spread)
+// RetryAfterReopening returns after how long a caller should retry if no target takes requests at
+// present. in is the time until the first target does so again, or 0 if that is unknown. If it is
+// unknown or longer than callers honour, the result is that of RetryAfterOutage.
+func RetryAfterReopening(in, remaining time.Duration, spread float64) time.Duration {
+	last := RetryAfterOutage(remaining, spread)
 	if in <= 0 || in > last {
 		return last
 	}
 	return in + time.Duration(spread*float64(reopenSpread))
 }
 
-// RetryAfterPermits is after how long a refused caller should come back where room comes bit by bit from a
-// time on: anywhere between that and as late as it heeds, so that callers come as the room does.
-func RetryAfterPermits(from, left time.Duration, spread float64) time.Duration {
-	from = max(from, leastRest)
-	most := time.Duration(float64(left) * heed)
+// RetryAfterPermits returns after how long a refused caller should retry if permits become available
+// one by one after the time from: evenly spread between from and the longest time that callers
+// honour, so that callers arrive as permits do.
+func RetryAfterPermits(from, remaining time.Duration, spread float64) time.Duration {
+	from = max(from, minRetryAfter)
+	most := time.Duration(float64(remaining) * maxRetryAfterShare)
 	if from >= most {
-		return RetryAfterOutage(left, spread)
+		return RetryAfterOutage(remaining, spread)
 	}
 	return from + time.Duration(float64(most-from)*spread)
 }
 
-// later is within a share of the end of the time that the caller heeds.
-func later(left time.Duration, spread, share float64) time.Duration {
-	most := float64(left) * heed
-	return max(time.Duration(most*(1-share*(1-spread))), leastRest)
+// lateRetryAfter returns a time within the last share of the time that callers honour.
+func lateRetryAfter(remaining time.Duration, spread, share float64) time.Duration {
+	most := float64(remaining) * maxRetryAfterShare
+	return max(time.Duration(most*(1-share*(1-spread))), minRetryAfter)
 }
 
-// returned distinguishes a caller that came before by the time that it has left.
-func (g *Gate) returned(a Request) bool {
-	if a.Remaining > g.longest[a.Route] {
-		g.longest[a.Route] = a.Remaining
+// isRetry reports whether the caller has been refused before, judged by the time to its deadline.
+func (g *Gate) isRetry(r Request) bool {
+	if r.Remaining > g.longest[r.Route] {
+		g.longest[r.Route] = r.Remaining
 	}
-	return float64(a.Remaining) < cameBack*float64(g.longest[a.Route])
+	return float64(r.Remaining) < retryBelow*float64(g.longest[r.Route])
 }
 
-// Forget drops what is known of routes, as when the configuration changes.
+// Forget drops all state of routes, for example when the configuration changes.
 func (g *Gate) Forget() { clear(g.longest) }
