--- a/ratelimit/allocator.go
+++ b/ratelimit/allocator.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// silentFor is for how long an issuer that did not answer is not asked; each further time
-	// doubles it, up to silentMost.
-	silentFor, silentMost = time.Second, 8 * time.Second
-	maxSilent             = 3 // doublings
-	// declinedFor is for how long a box is not asked that reports that it is not the issuer: two see it
-	// differently for no longer than news takes.
-	declinedFor = 200 * time.Millisecond
-	// apartFor is for how long after it went by its own part a box counts as apart: a few rounds
-	// in which boxes notify each other so.
-	apartFor = 2 * time.Second
+	// An issuer that did not reply is not sent requests for minBackoff. Each further failure doubles
+	// that time, up to maxBackoff.
+	minBackoff, maxBackoff = time.Second, 8 * time.Second
+	maxDoublings           = 3
+	// declineBackoff is how long no requests are sent to a box that replied that it is not the issuer:
+	// two boxes disagree about the issuer no longer than updates take to arrive.
+	declineBackoff = 200 * time.Millisecond
+	// fallbackReported is how long a box reports that it uses its fallback share after it last did:
+	// a few rounds in which boxes notify each other of it.
+	fallbackReported = 2 * time.Second
 )
 
-// Source is where a box gets permits for the targets of a service.
+// Source states where a box gets permits for the targets of a service.
 type Source interface{ source() }
 
 // Local means that this box is the issuer.
 type Local struct{}
 
-// Remote means that another box is the issuer, and is to be asked. One that is slow is asked ahead:
-// the request does not wait for the answer, and what it brings is for those that come later.
+// Remote means that another box is the issuer, to which a request is sent. Prefetch reports that the
+// issuer replies slowly: the request of the caller does not wait for the reply, whose permits are for
+// later requests.
 type Remote struct {
 	Issuer   domain.BoxID
 	Prefetch bool
 }
 
-// Pending means that a slow issuer is being asked already.
+// Pending means that a request to a slow issuer is already in progress.
 type Pending struct{}
 
-// Fallback means that no issuer is known or answers, and that this box goes by its own part. Where Again
-// is set it is time to find out whether that issuer answers again.
+// Fallback means that no issuer is known or replies, and that this box uses its fallback share. If Probe
+// is set, it is time to test whether that issuer replies again.
 type Fallback struct{ Probe domain.BoxID }
 
 func (Local) source()    {}
@@ -46,154 +47,159 @@
 func (Pending) source()  {}
 func (Fallback) source() {}
 
-// Want is a target that a box has a request for, and what it gets a second from all boxes.
+// Want is a target that a box has a request for, and the number of requests a second that the target
+// gets from all boxes.
 type Want struct {
 	Target domain.InstanceID
 	Rate   float64
 }
 
-// Turn is when a box may get a permit for a target.
+// Turn is the time from which a box may get a permit for a target.
 type Turn struct {
 	Target domain.InstanceID
 	At     time.Time
 }
 
-// Grant is what a box gets: permits for one target, and its turns at those that come before it
-// among its wants.
+// Grant is the reply to a list of wants: permits for one target, and the turns at the targets before it
+// in the list.
 type Grant struct {
-	Target  domain.InstanceID // empty if there is no permit for any
+	Target  domain.InstanceID // empty if there are no permits
 	Permits int
 	Turns   []Turn
 }
 
-// Allocator hands out permits: for all boxes where this one is a service's issuer, and for itself while
-// it goes by its own part. It is not safe for concurrent use.
+// Allocator issues permits: to all boxes where this box is the issuer of a service, and to itself while
+// it uses its fallback share. It is not safe for concurrent use.
 type Allocator struct {
-	rand   *rand.Rand
-	self   domain.BoxID
-	issued map[domain.ServiceName]*Buckets
-	own    map[domain.ServiceName]*Buckets // of services for which it goes by its own part
-	ownAt  time.Time                       // it last did
-	peers  map[domain.BoxID]*peer
+	rand       *rand.Rand
+	self       domain.BoxID
+	issued     map[domain.ServiceName]*Buckets // of services for which this box is the issuer
+	fallback   map[domain.ServiceName]*Buckets // of services for which it uses its fallback share
+	fallbackAt time.Time                       // when it last used a fallback share
+	peers      map[domain.BoxID]*peer
 }
 
-// peer is another box as an issuer.
+// peer is the state of another box as an issuer.
 type peer struct {
-	asking int       // questions under way
-	slow   bool      // its last answer came later than requests wait
-	silent int       // times in a row that it did not answer
-	until  time.Time // when it is looked at again, while it is silent
+	pending  int       // requests in progress
+	slow     bool      // its last reply was later than requests wait for it
+	failures int       // consecutive requests that failed
+	retryAt  time.Time // when it is probed again after a failure
 }
 
-// NewAllocator returns the allocator of the box.
+// NewAllocator returns the allocator of the box self.
 func NewAllocator(self domain.BoxID, rnd *rand.Rand) *Allocator {
 	return &Allocator{
 		rand: rnd, self: self, peers: map[domain.BoxID]*peer{},
-		issued: map[domain.ServiceName]*Buckets{}, own: map[domain.ServiceName]*Buckets{},
+		issued: map[domain.ServiceName]*Buckets{}, fallback: map[domain.ServiceName]*Buckets{},
 	}
 }
 
-// Source is where permits for the service come from, whose issuer is the box; empty if none is known.
-// Where that is another box, Asked follows.
-func (d *Allocator) Source(now time.Time, svc domain.ServiceName, issuer domain.BoxID) Source {
-	here := d.IsIssuer(issuer, svc)
-	p := d.peer(issuer)
+// Source returns where permits for the service come from. issuer is the box that issues them, and empty
+// if none is known. If the result names another box, the caller calls RequestSent next.
+func (a *Allocator) Source(now time.Time, svc domain.ServiceName, issuer domain.BoxID) Source {
+	isIssuer := a.IsIssuer(issuer, svc)
+	p := a.peer(issuer)
 	switch {
 	case issuer == "":
 		return Fallback{}
-	case here:
+	case isIssuer:
 		return Local{}
-	case p.silent > 0 && (now.Before(p.until) || p.asking > 0):
+	case p.failures > 0 && (now.Before(p.retryAt) || p.pending > 0):
 		return Fallback{}
-	case p.silent > 0:
+	case p.failures > 0:
 		return Fallback{Probe: issuer}
-	case p.slow && p.asking > 0:
+	case p.slow && p.pending > 0:
 		return Pending{}
 	default:
 		return Remote{Issuer: issuer, Prefetch: p.slow}
 	}
 }
 
-func (d *Allocator) peer(id domain.BoxID) *peer {
-	p, ok := d.peers[id]
+func (a *Allocator) peer(id domain.BoxID) *peer {
+	p, ok := a.peers[id]
 	if !ok {
 		p = &peer{}
-		d.peers[id] = p
+		a.peers[id] = p
 	}
 	return p
 }
 
-// RequestSent takes that the issuer is being asked. Answered or Silent follows.
-func (d *Allocator) RequestSent(issuer domain.BoxID) { d.peer(issuer).asking++ }
-
-// ReplyOverdue takes that the issuer has not answered in the time for which requests wait.
-func (d *Allocator) ReplyOverdue(issuer domain.BoxID) { d.peer(issuer).slow = true }
-
-// ReplyReceived takes that the issuer of the service answered, in time for the request or not. It tells
-// whether it had been silent.
-func (d *Allocator) ReplyReceived(svc domain.ServiceName, issuer domain.BoxID, inTime bool) bool {
-	p := d.peer(issuer)
-	silent := p.silent > 0
-	p.asking--
-	p.silent, p.slow = 0, !inTime
-	delete(d.own, svc)
-	return silent
-}
-
-// RequestDeclined takes that the box answered that it is not the issuer. It reports whether that was news.
-func (d *Allocator) RequestDeclined(now time.Time, issuer domain.BoxID) bool {
-	p := d.peer(issuer)
-	p.asking--
-	news := p.silent == 0
-	p.silent, p.until = 1, now.Add(declinedFor)
-	return news
-}
-
-// RequestFailed takes that the issuer did not answer. It reports whether that was news.
-func (d *Allocator) RequestFailed(now time.Time, issuer domain.BoxID) bool {
-	p := d.peer(issuer)
-	p.asking--
-	p.until = now.Add(min(silentFor<<min(p.silent, maxSilent), silentMost))
-	p.silent++
-	return p.silent == 1
-}
-
-// IsIssuer reports whether this box is the issuer of the service, which is the box. One that is not any
-// more forgets what it handed out: it does not know what the other does.
-func (d *Allocator) IsIssuer(issuer domain.BoxID, svc domain.ServiceName) bool {
-	if issuer == d.self {
+// RequestSent records that a request is being sent to the issuer. ReplyReceived, RequestDeclined or
+// RequestFailed follows.
+func (a *Allocator) RequestSent(issuer domain.BoxID) { a.peer(issuer).pending++ }
+
+// ReplyOverdue records that the issuer has not replied within the time that requests wait for it.
+func (a *Allocator) ReplyOverdue(issuer domain.BoxID) { a.peer(issuer).slow = true }
+
+// ReplyReceived records that the issuer of the service replied. inTime reports whether the reply came
+// within the time that requests wait for it. It returns whether earlier requests had failed.
+func (a *Allocator) ReplyReceived(svc domain.ServiceName, issuer domain.BoxID, inTime bool) bool {
+	p := a.peer(issuer)
+	hadFailed := p.failures > 0
+	p.pending--
+	p.failures, p.slow = 0, !inTime
+	delete(a.fallback, svc)
+	return hadFailed
+}
+
+// RequestDeclined records that the box replied that it is not the issuer. It returns whether this is the
+// first failure in a row.
+func (a *Allocator) RequestDeclined(now time.Time, issuer domain.BoxID) bool {
+	p := a.peer(issuer)
+	p.pending--
+	first := p.failures == 0
+	p.failures, p.retryAt = 1, now.Add(declineBackoff)
+	return first
+}
+
+// RequestFailed records that the issuer did not reply. It returns whether this is the first failure in a
+// row.
+func (a *Allocator) RequestFailed(now time.Time, issuer domain.BoxID) bool {
+	p := a.peer(issuer)
+	p.pending--
+	p.retryAt = now.Add(min(minBackoff<<min(p.failures, maxDoublings), maxBackoff))
+	p.failures++
+	return p.failures == 1
+}
+
+// IsIssuer reports whether this box is the issuer of the service, given the box that is. If it no longer
+// is, it drops its buckets: it does not know what another issuer has issued since.
+func (a *Allocator) IsIssuer(issuer domain.BoxID, svc domain.ServiceName) bool {
+	if issuer == a.self {
 		return true
 	}
-	delete(d.issued, svc)
+	delete(a.issued, svc)
 	return false
 }
 
-// Issue hands out permits to a box, where this one is the service's issuer and speaks for the part
-// of all boxes.
-func (d *Allocator) Issue(now time.Time, svc domain.ServiceName, wants []Want, part float64) Grant {
-	delete(d.own, svc)
-	return d.grant(now, d.issued, svc, wants, part)
+// Issue issues permits to a box, where this box is the issuer of the service. share is the total share
+// of the limit of the boxes that this issuer serves.
+func (a *Allocator) Issue(now time.Time, svc domain.ServiceName, wants []Want, share float64) Grant {
+	delete(a.fallback, svc)
+	return a.grant(now, a.issued, svc, wants, share)
 }
 
-// IssueFallback hands out permits to this box by its own part.
-func (d *Allocator) IssueFallback(now time.Time, svc domain.ServiceName, wants []Want, part float64) Grant {
-	d.ownAt = now
-	return d.grant(now, d.own, svc, wants, part)
+// IssueFallback issues permits to this box from its fallback share.
+func (a *Allocator) IssueFallback(now time.Time, svc domain.ServiceName, wants []Want, share float64) Grant {
+	a.fallbackAt = now
+	return a.grant(now, a.fallback, svc, wants, share)
 }
 
-func (d *Allocator) grant(now time.Time, buckets map[domain.ServiceName]*Buckets, svc domain.ServiceName, wants []Want, part float64) Grant {
+// grant issues permits for the first of the wants for which there are any, and turns at those before it.
+func (a *Allocator) grant(now time.Time, buckets map[domain.ServiceName]*Buckets, svc domain.ServiceName, wants []Want, share float64) Grant {
 	b, ok := buckets[svc]
 	if !ok {
-		b = NewBuckets(d.rand)
+		b = NewBuckets(a.rand)
 		buckets[svc] = b
 	}
 	g := Grant{}
 	for _, w := range wants {
 		if math.IsInf(w.Rate, 0) {
-			g.Target, g.Permits = w.Target, 1 // its limit is over, which the asker is yet to hear
+			g.Target, g.Permits = w.Target, 1 // the limit has ended, which the requesting box has not received yet
 			return g
 		}
-		permits, turn := b.Take(now, w.Target, w.Rate*part)
+		permits, turn := b.Take(now, w.Target, w.Rate*share)
 		if permits > 0 {
 			g.Target, g.Permits = w.Target, permits
 			return g
@@ -203,7 +209,8 @@
 	return g
 }
 
-// UsesFallback reports whether this box goes by its own part, so that no issuer speaks for it.
-func (d *Allocator) UsesFallback(now time.Time) bool {
-	return !d.ownAt.IsZero() && now.Sub(d.ownAt) < apartFor
+// UsesFallback reports whether this box has recently used its fallback share, so that no issuer issues
+// permits on its behalf.
+func (a *Allocator) UsesFallback(now time.Time) bool {
+	return !a.fallbackAt.IsZero() && now.Sub(a.fallbackAt) < fallbackReported
 }
--- a/ratelimit/register.go
+++ b/ratelimit/register.go
@@ -12,72 +12,73 @@
 )
 
 const (
-	// permitFor is how long a permit may be kept before it is used: a little longer than boxes
-	// take to hear that a limit has changed, so that what all of them keep adds little.
-	permitFor = 500 * time.Millisecond
-	// newsFor is for how long a box notifies others that a limit was named, changed or ended: a few
-	// rounds, of which the first comes at once. Each box that learns of it does the same.
-	newsFor = 3 * time.Second
-	// endedFor is for how long it is remembered that a limit has ended, so that older news of it
-	// does not bring it back.
-	endedFor = time.Minute
-	// sameWithin is by which part a limit may change and count as the same: boxes do not tell each
-	// other of less, and permits and turns hold on.
-	sameWithin = 0.1
+	// permitLifetime is how long a permit may be stored before it is used: a little longer than boxes
+	// take to receive a changed limit, so that the permits stored by all of them add little load.
+	permitLifetime = 500 * time.Millisecond
+	// changeReported is how long a box includes a named, changed or ended limit in its reports to others:
+	// a few rounds, the first of which is sent immediately. Each box that receives the change does the
+	// same.
+	changeReported = 3 * time.Second
+	// endedRetention is how long the end of a limit is stored, so that older reports of the limit do not
+	// restore it.
+	endedRetention = time.Minute
+	// rateTolerance is the relative difference up to which two limits count as equal: boxes do not
+	// notify each other of smaller changes, and permits and turns remain valid.
+	rateTolerance = 0.1
 )
 
-// same reports that two rates are nearly the same.
-func same(a, b float64) bool { return math.Abs(a-b) <= sameWithin*max(a, b) }
+// sameRate reports whether two rates are equal within rateTolerance.
+func sameRate(a, b float64) bool { return math.Abs(a-b) <= rateTolerance*max(a, b) }
 
-// Report is what a target said of its limit at a time.
+// Report is the limit that a target reported at a time.
 type Report struct {
 	Target domain.InstanceID
 	Limit  call.Limit // call.Limited or call.Unlimited
 	At     time.Time
 }
 
-// Register is what a box knows of limits. It is not safe for concurrent use.
+// Register holds the limits, permits and turns that a box has. It is not safe for concurrent use.
 type Register struct {
 	rand    *rand.Rand
 	entries map[domain.InstanceID]*entry
 }
 
-// entry is what is known of one target, whose start the id names.
+// entry is the state of one target. A restarted target has another id.
 type entry struct {
-	limit     call.Limit
-	at        time.Time // the target reported it last
-	changedAt time.Time // this box learned that it is another than before
+	limit      call.Limit
+	reportedAt time.Time // when the target last reported the limit
+	changedAt  time.Time // when this box received a limit that differs from the one before
 
-	permits int       // that may be used
-	until   time.Time // for how long
-	turn    time.Time // before which this box gets none
+	permits      int       // unused permits
+	permitsUntil time.Time // when they expire
+	turn         time.Time // before which this box gets no permits
 }
 
-// NewRegister returns a register that knows no limit.
+// NewRegister returns a register without limits.
 func NewRegister(rnd *rand.Rand) *Register {
 	return &Register{rand: rnd, entries: map[domain.InstanceID]*entry{}}
 }
 
-// RecordAnswer takes what a target said with its answer to a request that was sent at the time, and tells
-// whether that was news. Answers overtake each other, so that one without a limit ends it only if
-// it is to a request sent after the limit was named last.
+// RecordAnswer records the limit that a target reported with its answer to a request sent at the time
+// sent, and returns whether the limit changed. Answers can overtake each other: an answer without a limit
+// ends the limit only if its request was sent after the limit was last reported.
 func (r *Register) RecordAnswer(now time.Time, id domain.InstanceID, l call.Limit, sent time.Time) bool {
 	switch l.(type) {
 	case call.Limited:
 		return r.Update(now, Report{Target: id, Limit: l, At: now})
 	case call.Unlimited:
 		e, ok := r.entries[id]
-		return ok && sent.After(e.at) && r.Update(now, Report{Target: id, Limit: l, At: now})
+		return ok && sent.After(e.reportedAt) && r.Update(now, Report{Target: id, Limit: l, At: now})
 	default:
 		return false
 	}
 }
 
-// Update takes a report, of this box or another, and reports whether the target has another limit now.
-// The newest word counts, in whatever order they come.
+// Update records a report of this box or another, and returns whether the limit of the target changed.
+// The newest report counts, in whatever order reports arrive.
 func (r *Register) Update(now time.Time, w Report) bool {
 	e, ok := r.entries[w.Target]
-	if w.Limit == nil || ok && !w.At.After(e.at) {
+	if w.Limit == nil || ok && !w.At.After(e.reportedAt) {
 		return false
 	}
 	if !ok {
@@ -85,23 +86,24 @@
 		r.entries[w.Target] = e
 	}
 	if sameLimit(e.limit, w.Limit) {
-		e.limit, e.at = w.Limit, w.At
+		e.limit, e.reportedAt = w.Limit, w.At
 		return false
 	}
-	*e = entry{limit: w.Limit, at: w.At, changedAt: now} // permits and turns went by the limit before
+	*e = entry{limit: w.Limit, reportedAt: w.At, changedAt: now} // permits and turns were based on the previous limit
 	return true
 }
 
+// sameLimit reports whether two limits are equal within rateTolerance.
 func sameLimit(a, b call.Limit) bool {
 	x, limited := a.(call.Limited)
-	y, too := b.(call.Limited)
-	if limited && too {
-		return same(x.PerSecond, y.PerSecond)
+	y, alsoLimited := b.(call.Limited)
+	if limited && alsoLimited {
+		return sameRate(x.PerSecond, y.PerSecond)
 	}
 	return a == b
 }
 
-// Limit is how many requests a second the target takes; false if it names no limit.
+// Limit returns how many requests a second the target takes; false if it has no limit.
 func (r *Register) Limit(id domain.InstanceID) (perSecond float64, limited bool) {
 	e, ok := r.entries[id]
 	if !ok {
@@ -111,16 +113,16 @@
 	return l.PerSecond, limited
 }
 
-// Report is the newest news of the target; false if it never named a limit.
+// Report returns the newest report of the target; false if none is stored.
 func (r *Register) Report(id domain.InstanceID) (Report, bool) {
 	e, ok := r.entries[id]
 	if !ok {
 		return Report{}, false
 	}
-	return Report{Target: id, Limit: e.limit, At: e.at}, true
+	return Report{Target: id, Limit: e.limit, At: e.reportedAt}, true
 }
 
-// Unlimited reports that the target may be sent work without a permit.
+// Unlimited reports whether requests may be sent to the target without a permit.
 func (r *Register) Unlimited(id domain.InstanceID) bool {
 	_, limited := r.Limit(id)
 	return !limited
@@ -129,10 +131,10 @@
 // HasPermit reports whether there is a permit for the target.
 func (r *Register) HasPermit(now time.Time, id domain.InstanceID) bool {
 	e, ok := r.entries[id]
-	return ok && e.permits > 0 && now.Before(e.until)
+	return ok && e.permits > 0 && now.Before(e.permitsUntil)
 }
 
-// UsePermit uses a permit for the target, if there is one.
+// UsePermit uses a permit for the target, and returns false if there is none.
 func (r *Register) UsePermit(now time.Time, id domain.InstanceID) bool {
 	if !r.HasPermit(now, id) {
 		return false
@@ -141,21 +143,22 @@
 	return true
 }
 
-// MaySend reports whether a request that was to be sent to the target at the time, with a permit or
-// while it named no limit, may still be sent. If it needs another permit and there is one, it uses
-// that.
-func (r *Register) MaySend(now time.Time, id domain.InstanceID, permitted bool, at time.Time) bool {
-	return permitted && !PermitExpired(now, at) || r.Unlimited(id) || r.UsePermit(now, id)
+// MaySend reports whether a request may still be sent to the target, which was chosen for it at the time
+// chosen. permitted reports that the request had a permit then or that the target had no limit. If the
+// request needs another permit and there is one, MaySend uses it.
+func (r *Register) MaySend(now time.Time, id domain.InstanceID, permitted bool, chosen time.Time) bool {
+	return permitted && !PermitExpired(now, chosen) || r.Unlimited(id) || r.UsePermit(now, id)
 }
 
-// PermitExpired reports that a permit that was asked for at the time may not be used any more, as where the
-// box stood still meanwhile.
-func PermitExpired(now, asked time.Time) bool { return now.Sub(asked) >= permitFor }
+// PermitExpired reports whether a permit requested at the time may no longer be used, for example because
+// the box was suspended in the meantime.
+func PermitExpired(now, requested time.Time) bool { return now.Sub(requested) >= permitLifetime }
 
-// TurnDue reports whether it is this box's turn to ask for permits for the target.
+// TurnDue reports whether this box may request permits for the target.
 func (r *Register) TurnDue(now time.Time, id domain.InstanceID) bool { return !now.Before(r.Turn(id)) }
 
-// Turn is when this box may get a permit for the target; zero if nothing is known against now.
+// Turn returns the time from which this box may get a permit for the target, and zero if it may get one
+// now.
 func (r *Register) Turn(id domain.InstanceID) time.Time {
 	e, ok := r.entries[id]
 	if !ok {
@@ -164,49 +167,51 @@
 	return e.turn
 }
 
-// AddPermits takes permits that were asked for at the time.
-func (r *Register) AddPermits(asked time.Time, id domain.InstanceID, permits int) {
+// AddPermits stores permits that were requested at the time.
+func (r *Register) AddPermits(requested time.Time, id domain.InstanceID, permits int) {
 	e, ok := r.entries[id]
 	if !ok {
 		return
 	}
-	if !asked.Before(e.until) {
+	if !requested.Before(e.permitsUntil) {
 		e.permits = 0
 	}
 	e.permits += permits
-	e.until, e.turn = asked.Add(permitFor), time.Time{}
+	e.permitsUntil, e.turn = requested.Add(permitLifetime), time.Time{}
 }
 
-// SetTurn takes that there is no permit for this box before its turn.
+// SetTurn records that there is no permit for this box before its turn.
 func (r *Register) SetTurn(id domain.InstanceID, turn time.Time) {
 	if e, ok := r.entries[id]; ok {
 		e.turn = turn
 	}
 }
 
-// ReportsForPeers are reports for other boxes: those that are news, and so many of the others by chance.
+// ReportsForPeers returns the reports to send to other boxes: all recent changes, and a random selection
+// of the number others from the rest.
 func (r *Register) ReportsForPeers(now time.Time, others int) []Report {
-	var news, rest []Report
+	var changed, rest []Report
 	for id, e := range r.entries {
-		w := Report{Target: id, Limit: e.limit, At: e.at}
-		if now.Sub(e.changedAt) < newsFor {
-			news = append(news, w)
+		w := Report{Target: id, Limit: e.limit, At: e.reportedAt}
+		if now.Sub(e.changedAt) < changeReported {
+			changed = append(changed, w)
 		} else {
 			rest = append(rest, w)
 		}
 	}
 	slices.SortFunc(rest, func(a, b Report) int { return cmp.Compare(a.Target, b.Target) })
 	r.rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	return append(news, rest[:min(len(rest), others)]...)
+	return append(changed, rest[:min(len(rest), others)]...)
 }
 
-// HasLimits reports whether any target names a limit, or did until lately.
+// HasLimits reports whether any target has a limit, or had one until recently.
 func (r *Register) HasLimits() bool { return len(r.entries) > 0 }
 
-// Forget drops limits that have long ended, and those of targets that are not in keep.
+// Forget drops limits that ended longer than endedRetention ago, and all state of targets that are not in
+// keep.
 func (r *Register) Forget(now time.Time, keep func(domain.InstanceID) bool) {
 	for id, e := range r.entries {
-		if !keep(id) || r.Unlimited(id) && now.Sub(e.changedAt) > endedFor {
+		if !keep(id) || r.Unlimited(id) && now.Sub(e.changedAt) > endedRetention {
 			delete(r.entries, id)
 		}
 	}
