--- a/node/budgets.go
+++ b/node/budgets.go
@@ -69,14 +69,14 @@
 func (s servicePurse) AddRequest(now time.Time) {
 	s.budgets.mu.Lock()
 	defer s.budgets.mu.Unlock()
-	s.budgets.of(s.service).Request(now)
+	s.budgets.of(s.service).AddRequest(now)
 }
 
 // SpendRetry implements retry.Budget.
 func (s servicePurse) SpendRetry(now time.Time) bool {
 	s.budgets.mu.Lock()
 	defer s.budgets.mu.Unlock()
-	return s.budgets.of(s.service).Take(now)
+	return s.budgets.of(s.service).SpendRetry(now)
 }
 
 func (b *budgets) of(svc domain.ServiceName) *retry.TokenBudget {
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -43,13 +43,13 @@
 func (b *TokenBudget) SetShare(share float64) { b.share = share }
 
 // AddRequest implements Budget.
-func (b *TokenBudget) Request(now time.Time) {
+func (b *TokenBudget) AddRequest(now time.Time) {
 	b.refill(now)
 	b.tokens = min(b.cap, b.tokens+b.share)
 }
 
 // SpendRetry implements Budget.
-func (b *TokenBudget) Take(now time.Time) bool {
+func (b *TokenBudget) SpendRetry(now time.Time) bool {
 	b.refill(now)
 	if b.tokens < 1 {
 		return false
