--- a/ratelimit/allocator.go
+++ b/ratelimit/allocator.go
@@ -153,8 +153,8 @@
 	return first
 }
 
-// RequestFailed records that the issuer did not reply. It returns whether this is the first failure in a
-// row.
+// RequestFailed records that a request to the issuer failed or got no reply. It returns whether this is
+// the first failure in a row.
 func (a *Allocator) RequestFailed(now time.Time, issuer domain.BoxID) bool {
 	p := a.peer(issuer)
 	p.pending--
--- a/retry/machine_test.go
+++ b/retry/machine_test.go
@@ -133,7 +133,7 @@
 	tests := []struct {
 		name  string
 		kind  int
-		first bool // else the second attempt is looked at
+		first bool // checks the first attempt, otherwise the second
 		want  bool
 	}{
 		{"first of two", repeat, true, true},
