--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -35,11 +35,11 @@
 var errFirstByteTimeout = errors.New("the response did not begin in time")
 
 // run makes the attempt and forwards the response to the caller.
-func (a *attempt) run(caller context.Context) retry.End {
+func (a *attempt) run(caller context.Context) retry.Outcome {
 	ctx, cancel := context.WithCancelCause(caller)
 	defer cancel(nil)
-	if !a.try.Patience.IsZero() {
-		a.firstByteTimer = clock.AfterFunc(a.try.Patience, func() { cancel(errFirstByteTimeout) })
+	if !a.try.FirstByteDeadline.IsZero() {
+		a.firstByteTimer = clock.AfterFunc(a.try.FirstByteDeadline, func() { cancel(errFirstByteTimeout) })
 		defer a.firstByteTimer.Stop()
 	}
 	if aim := a.d.req.route.LatencyObjective(); aim > 0 {
@@ -84,7 +84,7 @@
 // targetProcessEnded reports whether the target's process ended during the attempt, and not only
 // its connection. When a group loses a rank, the other ranks cut off their work but stay alive;
 // that work must not be blamed.
-func (a *attempt) targetProcessEnded(ctx context.Context, end retry.End) bool {
+func (a *attempt) targetProcessEnded(ctx context.Context, end retry.Outcome) bool {
 	switch end.(type) {
 	case retry.Lost, retry.Broken:
 		return ctx.Err() == nil && a.d.g.deps.Pool.Ended(ctx, a.lease.Target().Address(), a.lease.Witness())
@@ -95,13 +95,13 @@
 
 // endAfterFirstByteTimeout returns the end and the verdict of an attempt that was cancelled by the
 // timeout for the first byte of its response.
-func endAfterFirstByteTimeout(end retry.End, v Verdict) (retry.End, Verdict) {
-	if _, unreached := end.(retry.Unreached); unreached {
+func endAfterFirstByteTimeout(end retry.Outcome, v Verdict) (retry.Outcome, Verdict) {
+	if _, unreached := end.(retry.NotSent); unreached {
 		return end, v
 	}
-	end = retry.CutShort(end)
+	end = retry.ResolveTimeout(end)
 	switch end.(type) {
-	case retry.Silent:
+	case retry.FirstByteTimedOut:
 		return end, Bad
 	default:
 		return end, Good // the response began as the timeout fired
@@ -109,21 +109,21 @@
 }
 
 // roundTrip sends the request and handles the response.
-func (a *attempt) roundTrip(ctx context.Context) (retry.End, Verdict) {
+func (a *attempt) roundTrip(ctx context.Context) (retry.Outcome, Verdict) {
 	x, err := a.d.g.deps.Pool.Open(ctx, a.lease.Target().Address(), a.connectionReuse())
 	if err != nil {
-		return retry.Unreached{Err: err}, Unreachable
+		return retry.NotSent{Err: err}, Unreachable
 	}
 	a.exchange = x
 	defer x.Close()
 	// A connection may take a second to open, and the target may have sent an update meanwhile.
 	if !a.lease.MaySend(clock.Now()) {
-		return retry.Unreached{Err: errTargetUnavailable}, Neutral
+		return retry.NotSent{Err: errTargetUnavailable}, Neutral
 	}
 	x.Bind(ctx)
 	req := a.outboundRequest(ctx)
 	if err := x.Send(req); err != nil && !x.Sent() {
-		return retry.Unreached{Err: err}, Neutral
+		return retry.NotSent{Err: err}, Neutral
 	}
 	// Even after a failed write there may be a response to read, such as an early refusal.
 	resp, err := x.Receive(req, a.isOwnResponse)
@@ -169,7 +169,7 @@
 }
 
 // noResponse returns the end and the verdict of an attempt that was sent and got no response.
-func (a *attempt) noResponse(ctx context.Context, err error) (retry.End, Verdict) {
+func (a *attempt) noResponse(ctx context.Context, err error) (retry.Outcome, Verdict) {
 	if ctx.Err() != nil {
 		return retry.Expired{}, Neutral
 	}
@@ -177,7 +177,7 @@
 }
 
 // handleResponse handles a response whose headers have arrived.
-func (a *attempt) handleResponse(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+func (a *attempt) handleResponse(ctx context.Context, resp *http.Response) (retry.Outcome, Verdict) {
 	now := clock.Now()
 	a.response = a.d.g.deps.Headers.ParseResponse(now, resp)
 	if a.response.Outcome != call.Elsewhere && a.response.Outcome != call.Foreign {
@@ -202,7 +202,7 @@
 }
 
 // forward sends the response on to the caller.
-func (a *attempt) forward(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+func (a *attempt) forward(ctx context.Context, resp *http.Response) (retry.Outcome, Verdict) {
 	if a.d.req.route.Kind() == catalog.Stream && resp.StatusCode == http.StatusOK {
 		return a.forwardStream(ctx, resp)
 	}
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -27,8 +27,8 @@
 	g      *Gateway
 	req    *inboundRequest
 	w      http.ResponseWriter
-	course *retry.Course
-	budget retry.Purse
+	course *retry.Machine
+	budget retry.Budget
 	tried  []domain.InstanceID
 
 	headSent     bool   // the response head was sent to the caller
@@ -48,10 +48,10 @@
 	defer cancel()
 	d := &delivery{g: g, req: req, w: w, after: req.After(), budget: g.deps.Budget(req.service)}
 	rules := retry.Rules{
-		Repeat: req.route.MayRepeat(), Resume: req.route.MayResume(), Attempts: req.route.MaxAttempts(),
-		Deadline: req.deadline, Patience: firstByteTimeoutAims * req.route.LatencyObjective(),
+		Repeat: req.route.MayRepeat(), Resume: req.route.MayResume(), MaxAttempts: req.route.MaxAttempts(),
+		Deadline: req.deadline, FirstByteTimeout: firstByteTimeoutAims * req.route.LatencyObjective(),
 	}
-	d.course = retry.NewCourse(rules, d.budget)
+	d.course = retry.NewMachine(rules, d.budget)
 	for cmd := d.course.Start(req.arrived); ; {
 		if callerGone(ctx) {
 			g.logCallerGone(req, d)
@@ -98,7 +98,7 @@
 	a := &attempt{d: d, lease: lease, try: t}
 	end := a.run(ctx)
 	d.limit = a.response.Limit
-	if _, served := end.(retry.Answering); served {
+	if _, served := end.(retry.Answered); served {
 		d.g.deps.Quarantine.WorkServed(clock.Now(), d.req.digest)
 	}
 	cmd := d.course.Ended(clock.Now(), end)
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -256,8 +256,8 @@
 // unlimitedBudget allows any number of retries.
 type unlimitedBudget struct{}
 
-func (unlimitedBudget) Request(time.Time)   {}
-func (unlimitedBudget) Take(time.Time) bool { return true }
+func (unlimitedBudget) AddRequest(time.Time)      {}
+func (unlimitedBudget) SpendRetry(time.Time) bool { return true }
 
 // quarantine bars work after a given number of targets ended, and records what the gateway reports.
 type quarantine struct {
@@ -301,7 +301,7 @@
 	g := gateway.New(gateway.Dependencies{
 		Common: telemetry.Quiet(), Headers: testCodec{}, Fleet: f, Quarantine: q,
 		Pool:   transport.NewPool(transport.Dial(transport.Timing{Connect: time.Second, Unheard: time.Second}), transport.DefaultSettings()),
-		Budget: func(domain.ServiceName) retry.Purse { return unlimitedBudget{} },
+		Budget: func(domain.ServiceName) retry.Budget { return unlimitedBudget{} },
 	})
 	g.Configure(routes(t))
 	s := httptest.NewServer(g)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -122,7 +122,7 @@
 	Pool       *transport.Pool
 	Quarantine Quarantine
 	// Budget returns the retry budget of a service.
-	Budget func(domain.ServiceName) retry.Purse
+	Budget func(domain.ServiceName) retry.Budget
 }
 
 // Gateway serves callers. It is an http.Handler.
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -17,7 +17,7 @@
 }
 
 // logAttempt logs an attempt that did not end its request with a response, and counts a retry.
-func (g *Gateway) logAttempt(req *inboundRequest, a *attempt, end retry.End, cmd retry.Command) {
+func (g *Gateway) logAttempt(req *inboundRequest, a *attempt, end retry.Outcome, cmd retry.Command) {
 	if _, ok := cmd.(retry.Deliver); ok {
 		return
 	}
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -25,7 +25,7 @@
 
 // forwardPlain reads the response and sends it to the caller once it is complete, or once more
 // than maxBufferedBytes have arrived.
-func (a *attempt) forwardPlain(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+func (a *attempt) forwardPlain(ctx context.Context, resp *http.Response) (retry.Outcome, Verdict) {
 	body, whole, err := readBuffered(resp)
 	if err != nil {
 		return a.responseBroken(ctx, err, false)
@@ -34,18 +34,18 @@
 	b := &bufferedResponse{resp: resp, body: body}
 	if whole {
 		b.send(a.d)
-		return retry.Answering{}, Good
+		return retry.Answered{}, Good
 	}
 	b.sendBuffered(a.d)
 	if _, err := io.Copy(a.d.w, resp.Body); err != nil {
 		return a.responseBroken(ctx, err, true)
 	}
-	return retry.Answering{}, Good
+	return retry.Answered{}, Good
 }
 
 // bufferFailure buffers a failure response, which is sent to the caller if there is no other
 // attempt.
-func (a *attempt) bufferFailure(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+func (a *attempt) bufferFailure(ctx context.Context, resp *http.Response) (retry.Outcome, Verdict) {
 	body, whole, err := readBuffered(resp)
 	if err != nil || !whole {
 		return a.responseBroken(ctx, errors.Join(err, errTruncated), false)
@@ -94,7 +94,7 @@
 
 // responseBroken returns the end and the verdict of an attempt whose response broke off. The
 // argument sent states whether the caller has received any of it.
-func (a *attempt) responseBroken(ctx context.Context, err error, sent bool) (retry.End, Verdict) {
+func (a *attempt) responseBroken(ctx context.Context, err error, sent bool) (retry.Outcome, Verdict) {
 	if ctx.Err() != nil && !sent {
 		return retry.Expired{}, Neutral
 	}
@@ -102,5 +102,5 @@
 	if ctx.Err() != nil {
 		v = Neutral
 	}
-	return retry.Broken{Err: err, Passed: sent}, v
+	return retry.Broken{Err: err, Forwarded: sent}, v
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -25,7 +25,7 @@
 
 // forwardStream sends each event to the caller once it is complete, so that a partial event never
 // reaches the caller, and records the ID of the last event sent.
-func (a *attempt) forwardStream(ctx context.Context, resp *http.Response) (retry.End, Verdict) {
+func (a *attempt) forwardStream(ctx context.Context, resp *http.Response) (retry.Outcome, Verdict) {
 	d := a.d
 	flush := http.NewResponseController(d.w)
 	buf := make([]byte, 0, 1<<10)
@@ -47,7 +47,7 @@
 		switch {
 		case errors.Is(err, io.EOF) && len(buf) == 0:
 			a.startCallerResponse(resp)
-			return retry.Answering{}, Good
+			return retry.Answered{}, Good
 		case errors.Is(err, io.EOF):
 			return a.responseBroken(ctx, errTruncated, d.headSent)
 		case err != nil:
@@ -92,7 +92,7 @@
 // too late and this target causes that. The budget is charged for the move.
 func (a *attempt) shouldMove(now time.Time) bool {
 	aim := a.d.req.route.EventGapObjective()
-	return a.try.Movable && aim > 0 && a.gap > aim && a.lease.IsStraggler(now, a.d.tried) && a.d.budget.Take(now)
+	return a.try.Movable && aim > 0 && a.gap > aim && a.lease.IsStraggler(now, a.d.tried) && a.d.budget.SpendRetry(now)
 }
 
 // recordEvents counts n events that are sent to the caller now.
--- a/node/choosing.go
+++ b/node/choosing.go
@@ -40,12 +40,12 @@
 	defer f.mu.Unlock()
 	f.askedAt[q.Service] = now
 	options := f.options(now, q.Service, q.Tried)
-	open := slices.DeleteFunc(slices.Clone(options), func(o routing.Option) bool { return !f.open(now, o) && !f.limits.Due(now, o.ID) })
+	open := slices.DeleteFunc(slices.Clone(options), func(o routing.Option) bool { return !f.open(now, o) && !f.limits.TurnDue(now, o.ID) })
 	chosen, err := f.pick(now, q, options, open)
 	if err != nil {
 		return nil, nil, err
 	}
-	if !chosen.Limited || f.limits.Spend(now, chosen.ID) {
+	if !chosen.Limited || f.limits.UsePermit(now, chosen.ID) {
 		return f.at(now, chosen), nil, nil
 	}
 	return nil, f.asks(now, chosen, open), nil
@@ -64,13 +64,13 @@
 	if err != nil {
 		return nil, err
 	}
-	f.limits.Spend(now, chosen.ID)
+	f.limits.UsePermit(now, chosen.ID)
 	return f.at(now, chosen), nil
 }
 
 // open reports whether the option may be sent work without asking; mu is held.
 func (f *fleet) open(now time.Time, o routing.Option) bool {
-	return !o.Limited || f.limits.Has(now, o.ID)
+	return !o.Limited || f.limits.HasPermit(now, o.ID)
 }
 
 // pick chooses among those of the options that are open, or refuses the request; mu is held.
@@ -82,7 +82,7 @@
 	case len(options) == 0:
 		return chosen, fault.New(fault.NoTarget, "service %s has no target that takes requests", q.Service).RetryAt(f.again(now, q))
 	default:
-		at := now.Add(admission.Between(f.turn(options).Sub(now), q.Deadline.Sub(now), rand.Float64()))
+		at := now.Add(admission.RetryAfterPermits(f.turn(options).Sub(now), q.Deadline.Sub(now), rand.Float64()))
 		return chosen, fault.New(fault.Overloaded, "the %d targets of service %s that take requests have had what they take", len(options), q.Service).RetryAt(at)
 	}
 }
@@ -122,8 +122,8 @@
 
 // admit refuses a request that would wait too long for a slot; mu is held.
 func (f *fleet) admit(now time.Time, q gateway.Query, o routing.Option) error {
-	begins, wait := f.balancer.Begins(now, o)
-	ask := admission.Ask{Route: q.Route, Left: q.Deadline.Sub(now), Aim: q.Aim, Begins: begins, Wait: wait}
+	begins, wait := f.balancer.EstimateFirstByte(now, o)
+	ask := admission.Request{Route: q.Route, Remaining: q.Deadline.Sub(now), FirstByteSLO: q.Aim, FirstByte: begins, Wait: wait}
 	ok, rest := f.gate.Admit(ask, rand.Float64())
 	if ok || !q.First {
 		return nil
@@ -138,7 +138,7 @@
 	if rested := f.roster.EarliestRestEnd(now, q.Service); !rested.IsZero() {
 		in = rested.Sub(now)
 	}
-	return now.Add(admission.Reopens(in, q.Deadline.Sub(now), rand.Float64()))
+	return now.Add(admission.RetryAfterReopening(in, q.Deadline.Sub(now), rand.Float64()))
 }
 
 // AvailableAt implements gateway.Fleet.
--- a/node/place.go
+++ b/node/place.go
@@ -36,7 +36,7 @@
 	if !p.fleet.roster.AcceptsWork(now, id) {
 		return false
 	}
-	return p.fleet.limits.Admits(now, id, p.permitted, p.taken)
+	return p.fleet.limits.MaySend(now, id, p.permitted, p.taken)
 }
 
 // UpdateStatus implements gateway.Lease.
@@ -66,7 +66,7 @@
 // reportFailure records that it let this box down, unless its whole group
 // stands still, which is no fault of one rank. The fleet is locked.
 func (p *place) reportFailure(now time.Time, r *membership.Roster, b *routing.Balancer) {
-	if !b.Steps(now, p.option) {
+	if !b.IsStepping(now, p.option) {
 		return
 	}
 	tell, ejected := r.ReportFailure(now, p.target.ID())
@@ -87,12 +87,12 @@
 func (p *place) IsStraggler(now time.Time, tried []domain.InstanceID) bool {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	return p.fleet.balancer.Drags(now, p.option, p.fleet.options(now, p.target.Service(), tried))
+	return p.fleet.balancer.IsStraggler(now, p.option, p.fleet.options(now, p.target.Service(), tried))
 }
 
 // ReportEventGap implements gateway.Lease.
 func (p *place) ReportEventGap(pause, aim time.Duration) {
-	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.Paused(clock.Now(), p.option, pause, aim) })
+	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.RecordPause(clock.Now(), p.option, pause, aim) })
 }
 
 // Release implements gateway.Lease.
