--- a/mapswitch/orders/coordinator.go
+++ b/mapswitch/orders/coordinator.go
@@ -89,14 +89,14 @@
 	}
 }
 
-// SetTelling sets how long a map takes to reach all ranks, beside what any order
+// SetDistributionTime sets how long a map takes to reach all ranks, beside what any order
 // takes: maps of large groups fill a narrow link for a while.
-func (c *Coordinator) SetTelling(d time.Duration) { c.telling = d }
+func (c *Coordinator) SetDistributionTime(d time.Duration) { c.telling = d }
 
-// SetReach sets how long the slowest of a round of reads takes. Where that is longer than
+// SetReadTime sets how long the slowest of a round of reads takes. Where that is longer than
 // seenWithin, as through relays in a group of a hundred ranks, the news of all ranks is
 // never so fresh at once, and no map would ever change.
-func (c *Coordinator) SetReach(d time.Duration) { c.reach = d }
+func (c *Coordinator) SetReadTime(d time.Duration) { c.reach = d }
 
 // TakeEnded returns the attempts that ended since the last call.
 func (c *Coordinator) TakeEnded() []Outcome {
--- a/mapswitch/orders/observing.go
+++ b/mapswitch/orders/observing.go
@@ -7,7 +7,7 @@
 	// seenWithin is how long ago each rank must have been read for the group to be held:
 	// one that was reached a moment ago can most likely be asked to arm, too. A rank that
 	// stands still between the hold and its answer keeps the group held. One round of
-	// reads takes some ten milliseconds; where it takes longer (SetReach), two of them.
+	// reads takes some ten milliseconds; where it takes longer (SetReadTime), two of them.
 	seenWithin = 50 * time.Millisecond
 	// seenMost bounds that. A rank whose box stands still from when it was asked to copy
 	// must not count as seen once the others have copied: it would keep its group held for as long
--- a/mapswitch/orders/seen_test.go
+++ b/mapswitch/orders/seen_test.go
@@ -30,7 +30,7 @@
 			if !c.Propose(now, place, 0) {
 				t.Fatal("nothing may be proposed")
 			}
-			c.SetReach(tc.reach)
+			c.SetReadTime(tc.reach)
 			copied := orders.State{Epoch: 1, Open: true, Step: 6, Prepared: c.Next(now)[0].Order.(orders.Prepare).Version}
 			c.Observe(now, modelRanks-1, copied)
 			now = now.Add(tc.quiet)
--- a/mapswitch/orders/telling_test.go
+++ b/mapswitch/orders/telling_test.go
@@ -35,7 +35,7 @@
 		if !c.Propose(begin, place, 0) {
 			t.Fatalf("%s: nothing may be proposed", tc.name)
 		}
-		c.SetTelling(tc.telling)
+		c.SetDistributionTime(tc.telling)
 		if got := ranksOf(c.Next(begin)); got != modelRanks {
 			t.Errorf("%s: orders to %d ranks at first", tc.name, got)
 		}
--- a/node/rank/giving.go
+++ b/node/rank/giving.go
@@ -22,7 +22,7 @@
 // next gives the orders that are due, and logs what ended.
 func (d *groupDuty) next(ctx context.Context) {
 	long := d.telling()
-	d.coord.SetTelling(long)
+	d.coord.SetDistributionTime(long)
 	calls := d.coord.Next(clock.Now())
 	if d.relays != nil {
 		calls = d.giveMany(ctx, calls, long)
--- a/node/rank/reading.go
+++ b/node/rank/reading.go
@@ -158,7 +158,7 @@
 // noteReach keeps how long the slowest reads take.
 func (d *groupDuty) noteReach(took time.Duration) {
 	d.reach = max(d.reach, took)
-	d.coord.SetReach(d.reach)
+	d.coord.SetReadTime(d.reach)
 }
 
 // observe takes what a rank reports about itself; false if that is of another formation.
