--- a/mapswitch/orders/succession_test.go
+++ b/mapswitch/orders/election_test.go
@@ -25,11 +25,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			open := time.Unix(1_800_000_000, 0)
-			var all [ranks]*orders.Succession
+			var all [ranks]*orders.Election
 			for r := range all {
-				all[r] = orders.NewSuccession(open.Add(-time.Minute))
-				all[r].Opened(open)
-				all[r].Learnt(open.Add(time.Duration(r*37%200) * time.Millisecond))
+				all[r] = orders.NewElection(open.Add(-time.Minute))
+				all[r].GroupStateChanged(open)
+				all[r].MembersReceived(open.Add(time.Duration(r*37%200) * time.Millisecond))
 			}
 			began := map[int]time.Time{}
 			most, first := 0, time.Duration(0)
@@ -50,7 +50,7 @@
 						continue
 					}
 					for other := range all {
-						all[other].AskedBy(now, r)
+						all[other].ReadBy(now, r)
 					}
 				}
 				if most = max(most, leading); leading > 0 && first == 0 {
@@ -70,18 +70,18 @@
 // TestTheNextRankTakesOverFromASilentOne: none comes before its turn, and the first returns.
 func TestTheNextRankTakesOverFromASilentOne(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	s := orders.NewSuccession(now.Add(-time.Minute))
-	s.Opened(now)
-	s.Learnt(now)
+	s := orders.NewElection(now.Add(-time.Minute))
+	s.GroupStateChanged(now)
+	s.MembersReceived(now)
 	now = now.Add(10 * time.Second)
-	s.AskedBy(now, 0)
+	s.ReadBy(now, 0)
 	if s.Leads(now.Add(400*time.Millisecond), 1) {
 		t.Error("it does not wait for a coordinator that was heard 0.4 s ago")
 	}
 	if !s.Leads(now.Add(700*time.Millisecond), 1) {
 		t.Error("it waits for a coordinator that was silent for 0.7 s")
 	}
-	s.AskedBy(now.Add(time.Second), 0)
+	s.ReadBy(now.Add(time.Second), 0)
 	if s.Leads(now.Add(time.Second), 1) {
 		t.Error("it goes on although the first rank is back")
 	}
--- a/mapswitch/orders/standby.go
+++ b/mapswitch/orders/standby.go
@@ -12,10 +12,10 @@
 	standByLater = 8 * time.Millisecond
 )
 
-// StandBy is how much longer than the first rank the rank waits before it coordinates,
+// StandbyDelay is how much longer than the first rank the rank waits before it coordinates,
 // when agents start together or the coordinator falls silent. If all took over at once they would
 // spoil each other's attempts until they learned of each other, with the group held meanwhile.
-func StandBy(rank int) time.Duration {
+func StandbyDelay(rank int) time.Duration {
 	first := min(max(rank, 0), standByFirst)
 	return time.Duration(first)*standByStep + time.Duration(max(rank, 0)-first)*standByLater
 }
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -44,7 +44,7 @@
 	epoch   orders.Epoch        // of the members
 	shape   *rebalance.Shape
 	helpers *telling.Helpers   // processes that hand orders on
-	turn    *orders.Succession // whether this rank is to coordinate
+	turn    *orders.Election // whether this rank is to coordinate
 	picks   *telling.Picks
 	maps    *telling.Placements
 	lost    bool // the engine does not answer
@@ -58,7 +58,7 @@
 		common: c, network: n, settings: now, http: client,
 		engine: platform.NewEngine(s.Engine, client),
 		mesh:   mesh.NewClient(n.Dial),
-		turn:   orders.NewSuccession(clock.Now()), helpers: telling.NewHelpers(),
+		turn:   orders.NewElection(clock.Now()), helpers: telling.NewHelpers(),
 		picks: telling.NewPicks(), maps: telling.NewPlacements(),
 	}
 }
@@ -147,7 +147,7 @@
 	}
 	if q.Epoch > a.epoch || a.members == nil {
 		a.common.Log.Info("group received", "epoch", q.Epoch, "ranks", len(q.Members), "before", a.epoch)
-		a.turn.Learnt(clock.Now())
+		a.turn.MembersReceived(clock.Now())
 	}
 	a.epoch, a.shape = q.Epoch, q.Shape
 	a.helpers.Learn(clock.Now(), q.Helpers)
@@ -180,7 +180,7 @@
 	if before := a.report; before.Rank.Epoch != r.Rank.Epoch || before.Rank.Open != r.Rank.Open {
 		a.common.Log.Info("group changed", "group", r.Rank.Group, "rank", r.Rank.Number, "epoch", r.Rank.Epoch, "open", r.Rank.Open,
 			"epoch_before", before.Rank.Epoch, "open_before", before.Rank.Open, "step", r.State.Step)
-		a.turn.Opened(clock.Now())
+		a.turn.GroupStateChanged(clock.Now())
 	}
 	a.report, a.readAt = r, clock.Now()
 	return r, nil
@@ -210,7 +210,7 @@
 // read answers the coordinator of the group.
 func (a *Agent) read(ctx context.Context, q *mesh.ReadQuery) (*mesh.RankReport, error) {
 	a.mu.Lock()
-	a.turn.AskedBy(clock.Now(), q.From)
+	a.turn.ReadBy(clock.Now(), q.From)
 	a.mu.Unlock()
 	return a.readOwn(ctx, q)
 }
