--- a/mapswitch/orders/coordinator.go
+++ b/mapswitch/orders/coordinator.go
@@ -38,7 +38,7 @@
 type Coordinator struct {
 	self  int
 	epoch Epoch
-	given *Numbers
+	given *NumberGenerator
 	ranks []rank
 
 	phase    phase
@@ -63,7 +63,7 @@
 
 // NewCoordinator returns the coordinator beside the rank self. given are the numbers of its
 // process, the same for all its coordinators.
-func NewCoordinator(self, ranks int, e Epoch, given *Numbers) *Coordinator {
+func NewCoordinator(self, ranks int, e Epoch, given *NumberGenerator) *Coordinator {
 	return &Coordinator{self: self, epoch: e, given: given, ranks: make([]rank, ranks)}
 }
 
--- a/mapswitch/orders/doc.go
+++ b/mapswitch/orders/doc.go
@@ -32,7 +32,7 @@
 //
 // # Usage
 //
-//	c := orders.NewCoordinator(self, ranks, epoch, orders.NewNumbers(salt))
+//	c := orders.NewCoordinator(self, ranks, epoch, orders.NewNumberGenerator(salt))
 //	c.Observe(now, rank, state)             // as often as a rank is read
 //	c.Propose(now, placement)               // when another map is wanted
 //	for _, call := range c.Next(now) {      // at once and on every tick
--- a/mapswitch/orders/model_test.go
+++ b/mapswitch/orders/model_test.go
@@ -44,7 +44,7 @@
 // does: its fences begin anew, below those that ranks may have seen.
 func (w *world) restart(rank int) {
 	w.salt++
-	w.coords[rank] = orders.NewCoordinator(rank, modelRanks, w.group.Epoch(), orders.NewNumbers(w.salt))
+	w.coords[rank] = orders.NewCoordinator(rank, modelRanks, w.group.Epoch(), orders.NewNumberGenerator(w.salt))
 	w.coords[rank].SetCurrent(place)
 }
 
--- a/mapswitch/orders/numbers.go
+++ b/mapswitch/orders/numbergenerator.go
@@ -1,6 +1,6 @@
 package orders
 
-// Numbers gives the fences and versions of one process. They need no clock: boxes' clocks
+// NumberGenerator gives the fences and versions of one process. They need no clock: boxes' clocks
 // are set back and forth, also while a process is away, and a process that started again
 // behind its own past would give numbers anew that stand for other maps.
 //
@@ -8,7 +8,7 @@
 // those of every other process by the rank and by a salt, drawn at the start: orders of a
 // process that is gone may still be on their way. A fence is above this process's own and,
 // as soon as a rank reports that it has seen a higher one, above that within a few attempts.
-type Numbers struct {
+type NumberGenerator struct {
 	salt Version
 	last Fence
 }
@@ -25,24 +25,24 @@
 	fenceMost Fence = 1 << 28
 )
 
-// NewNumbers returns the numbers of a process that has given none.
-func NewNumbers(salt uint16) *Numbers { return &Numbers{salt: Version(salt)} }
+// NewNumberGenerator returns the numbers of a process that has given none.
+func NewNumberGenerator(salt uint16) *NumberGenerator { return &NumberGenerator{salt: Version(salt)} }
 
 // fence is higher each time.
-func (n *Numbers) fence() Fence {
+func (n *NumberGenerator) fence() Fence {
 	n.last++
 	return n.last
 }
 
 // outranked: a rank has seen a higher fence.
-func (n *Numbers) outranked() {
+func (n *NumberGenerator) outranked() {
 	if n.last < fenceMost/raiseTimes {
 		n.last = n.last*raiseTimes + raiseBy
 	}
 }
 
 // version gives a version above the floor for the rank's coordinator in a group of so many.
-func (n *Numbers) version(floor Version, rank, ranks int) Version {
+func (n *NumberGenerator) version(floor Version, rank, ranks int) Version {
 	turn := max(Version(n.fence()), floor/Version(ranks)>>saltBits+1)
 	return (turn<<saltBits|n.salt)*Version(ranks) + Version(rank)
 }
--- a/mapswitch/orders/numbers_test.go
+++ b/mapswitch/orders/numbergenerator_test.go
@@ -13,7 +13,7 @@
 	now := time.Unix(1_800_000_000, 0)
 	used := map[orders.Version]bool{}
 	for salt := range uint16(50) {
-		c := orders.NewCoordinator(0, modelRanks, 1, orders.NewNumbers(salt))
+		c := orders.NewCoordinator(0, modelRanks, 1, orders.NewNumberGenerator(salt))
 		observeAll(c, now, orders.State{Epoch: 1, Open: true, Step: 5})
 		if !c.Propose(now, place, 0) {
 			t.Fatal("nothing may be proposed")
@@ -31,7 +31,7 @@
 func TestAVersionIsAboveAllThatRanksHave(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	for _, seen := range []orders.Version{1, 90_000, 171_189_690_859_008} {
-		c := orders.NewCoordinator(1, modelRanks, 1, orders.NewNumbers(9))
+		c := orders.NewCoordinator(1, modelRanks, 1, orders.NewNumberGenerator(9))
 		observeAll(c, now, orders.State{Epoch: 1, Open: true, Step: 5, Map: seen})
 		if !c.Propose(now, place, 0) {
 			t.Fatal("nothing may be proposed")
@@ -46,7 +46,7 @@
 func TestACoordinatorComesAboveAHigherFence(t *testing.T) {
 	const remembered orders.Fence = 60_000
 	now := time.Unix(1_800_000_000, 0)
-	c := orders.NewCoordinator(0, modelRanks, 1, orders.NewNumbers(9))
+	c := orders.NewCoordinator(0, modelRanks, 1, orders.NewNumberGenerator(9))
 	for attempt := range 4 {
 		now = now.Add(time.Second)
 		observeAll(c, now, orders.State{Epoch: 1, Open: true, Step: orders.Step(5 + attempt)})
--- a/mapswitch/orders/telling_test.go
+++ b/mapswitch/orders/telling_test.go
@@ -9,7 +9,7 @@
 
 // settledCoordinator returns one that may propose a map.
 func settledCoordinator(now time.Time) *orders.Coordinator {
-	c := orders.NewCoordinator(0, modelRanks, 1, orders.NewNumbers(7))
+	c := orders.NewCoordinator(0, modelRanks, 1, orders.NewNumberGenerator(7))
 	for r := range modelRanks {
 		c.Observe(now, r, orders.State{Epoch: 1, Open: true, Step: 5})
 	}
--- a/node/rank/groupduty.go
+++ b/node/rank/groupduty.go
@@ -52,7 +52,7 @@
 // goroutine owns all of it but what is under mu.
 type groupDuty struct {
 	agent   *Agent
-	numbers *orders.Numbers // of this process
+	numbers *orders.NumberGenerator // of this process
 	results chan event
 
 	rank     int
@@ -126,7 +126,7 @@
 func (dealDone) event()   {}
 
 func newGroupDuty(a *Agent) *groupDuty {
-	return &groupDuty{agent: a, numbers: orders.NewNumbers(uint16(rand.Uint32())), results: make(chan event, 64), reading: map[int]bool{}, mute: newMuteRanks(), unread: map[int]bool{}}
+	return &groupDuty{agent: a, numbers: orders.NewNumberGenerator(uint16(rand.Uint32())), results: make(chan event, 64), reading: map[int]bool{}, mute: newMuteRanks(), unread: map[int]bool{}}
 }
 
 // stop makes run return once no attempt is under way.
