--- a/mapswitch/orders/attempt.go
+++ b/mapswitch/orders/attempt.go
@@ -24,39 +24,39 @@
 	return [...]string{"idle", "preparing", "yielding", "holding", "arming", "clearing", "releasing"}[p]
 }
 
-// End is how an attempt ended.
-type End string
+// EndReason is how an attempt ended.
+type EndReason string
 
 // The ends of an attempt.
 const (
 	// Committed: all ranks use the map from the step on.
-	Committed End = "committed"
+	Committed EndReason = "committed"
 	// NotPrepared: a rank refused to copy, or took too long.
-	NotPrepared End = "not_prepared"
+	NotPrepared EndReason = "not_prepared"
 	// NotHeld: the own rank did not hold.
-	NotHeld End = "not_held"
+	NotHeld EndReason = "not_held"
 	// NotArmed: a rank refused to arm, and all others were disarmed.
-	NotArmed End = "not_armed"
+	NotArmed EndReason = "not_armed"
 	// Overruled: another coordinator is at work.
-	Overruled End = "overruled"
+	Overruled EndReason = "overruled"
 	// Regrouped: the group was formed anew.
-	Regrouped End = "regrouped"
+	Regrouped EndReason = "regrouped"
 )
 
 // Outcome reports how an attempt went.
 type Outcome struct {
 	Version  Version
-	End      End
+	Reason      EndReason
 	Rank     int           // that caused it; -1 if none did
-	Began    time.Time     // the attempt
+	StartedAt    time.Time     // the attempt
 	HeldFrom time.Time     // the hold was in place; zero if it was not
-	Copying  time.Duration // until all ranks had prepared
+	PrepareTime  time.Duration // until all ranks had prepared
 }
 
 func (c *Coordinator) begin(now time.Time, p phase) {
 	c.phase, c.entered = p, now
 	c.fenceNow = c.given.fence()
-	c.attempt = Outcome{Rank: -1, Began: now}
+	c.attempt = Outcome{Rank: -1, StartedAt: now}
 }
 
 // took notes that a rank took its order. A rank that has disarmed is then asked to
@@ -99,7 +99,7 @@
 		}
 	case arming:
 		if c.done() {
-			c.attempt.End = Committed
+			c.attempt.Reason = Committed
 			c.release(now)
 		}
 	case clearing:
@@ -124,7 +124,7 @@
 			return
 		}
 	}
-	c.attempt.Copying = now.Sub(c.attempt.Began)
+	c.attempt.PrepareTime = now.Sub(c.attempt.StartedAt)
 	c.hold(now)
 }
 
@@ -173,14 +173,14 @@
 		}
 		return
 	}
-	if c.attempt.End == Committed && c.goal != nil {
+	if c.attempt.Reason == Committed && c.goal != nil {
 		c.current = c.goal
 	}
-	c.end(c.attempt.End)
+	c.end(c.attempt.Reason)
 }
 
-func (c *Coordinator) end(e End) {
-	c.attempt.End = e
+func (c *Coordinator) end(e EndReason) {
+	c.attempt.Reason = e
 	c.ended = append(c.ended, c.attempt)
 	c.phase = idle
 	c.goal = nil
--- a/mapswitch/orders/calloff.go
+++ b/mapswitch/orders/calloff.go
@@ -6,7 +6,7 @@
 // the hold is let go. A rank is clear once it has taken a Prepare of a new version:
 // it was not armed then, and no order for an earlier version arms it any more.
 func (c *Coordinator) callOff(now time.Time) {
-	c.attempt.End = NotArmed
+	c.attempt.Reason = NotArmed
 	c.enter(now, clearing)
 	c.ask(func(r int) Order {
 		switch a := c.ranks[r].state.Armed; {
--- a/mapswitch/orders/coordinator.go
+++ b/mapswitch/orders/coordinator.go
@@ -98,8 +98,8 @@
 // never so fresh at once, and no map would ever change.
 func (c *Coordinator) SetReadTime(d time.Duration) { c.reach = d }
 
-// TakeEnded returns the attempts that ended since the last call.
-func (c *Coordinator) TakeEnded() []Outcome {
+// TakeOutcomes returns the attempts that ended since the last call.
+func (c *Coordinator) TakeOutcomes() []Outcome {
 	list := c.ended
 	c.ended = nil
 	return list
--- a/mapswitch/orders/model_test.go
+++ b/mapswitch/orders/model_test.go
@@ -68,7 +68,7 @@
 	for _, call := range calls {
 		w.give(c, call)
 	}
-	c.TakeEnded()
+	c.TakeOutcomes()
 }
 
 // give carries out an order now, later, or never, and answers it or does not.
--- a/node/rank/giving.go
+++ b/node/rank/giving.go
@@ -34,7 +34,7 @@
 		}
 		go d.order(ctx, c, call, d.members[c.Rank], orderWithin+long, d.tellers)
 	}
-	for _, o := range d.coord.TakeEnded() {
+	for _, o := range d.coord.TakeOutcomes() {
 		d.ended(o)
 	}
 }
@@ -43,16 +43,16 @@
 func (d *groupDuty) ended(o orders.Outcome) {
 	d.endedAt = clock.Now()
 	d.readAt = time.Time{} // at once: before another change all ranks are to be read
-	d.agent.common.Metrics.Count(telemetry.MapSwitches, string(o.End), 1)
-	took, held := clock.Since(o.Began), time.Duration(0)
+	d.agent.common.Metrics.Count(telemetry.MapSwitches, string(o.Reason), 1)
+	took, held := clock.Since(o.StartedAt), time.Duration(0)
 	if !o.HeldFrom.IsZero() {
 		held = clock.Since(o.HeldFrom)
 	}
-	if o.End == orders.Committed {
+	if o.Reason == orders.Committed {
 		d.noteOverhead(took)
 	}
-	d.log("map change ended", "version", o.Version, "end", o.End, "rank", o.Rank,
-		"copying", o.Copying, "held", held, "after", took)
+	d.log("map change ended", "version", o.Version, "end", o.Reason, "rank", o.Rank,
+		"copying", o.PrepareTime, "held", held, "after", took)
 }
 
 // overheadWeight is the weight of one more change in what changes take beside copies.
