--- a/mapswitch/orders/coordinator.go
+++ b/mapswitch/orders/coordinator.go
@@ -108,7 +108,7 @@
 // Propose starts an attempt to go over to the map, which takes so long to copy. It
 // is false if one is under way or something is left to settle first.
 func (c *Coordinator) Propose(now time.Time, p Placement, copying time.Duration) bool {
-	if !c.Settled() {
+	if !c.CanPropose() {
 		return false
 	}
 	c.begin(now, preparing)
@@ -125,9 +125,9 @@
 	return c.floor
 }
 
-// Settled reports that an attempt can be begun: none is under way, and every rank is known,
+// CanPropose reports that an attempt can be begun: none is under way, and every rank is known,
 // steps, and has nothing armed or held.
-func (c *Coordinator) Settled() bool {
+func (c *Coordinator) CanPropose() bool {
 	if c.phase != idle {
 		return false
 	}
--- a/mapswitch/orders/doc.go
+++ b/mapswitch/orders/doc.go
@@ -36,6 +36,6 @@
 //	c.Observe(now, rank, state)             // as often as a rank is read
 //	c.Propose(now, placement)               // when another map is wanted
 //	for _, call := range c.Next(now) {      // at once and on every tick
-//		// give the order, then c.Answered(now, call, result)
+//		// give the order, then c.HandleResult(now, call, result)
 //	}
 package orders
--- a/mapswitch/orders/model_test.go
+++ b/mapswitch/orders/model_test.go
@@ -81,15 +81,15 @@
 	switch fate {
 	case 3: // done, and the answer is lost
 		w.group.CarryOut(call)
-		c.Answered(w.now, call, orders.Lost)
+		c.HandleResult(w.now, call, orders.Lost)
 	case 4: // no answer, and it may be carried out later
 		w.late = append(w.late, call)
-		c.Answered(w.now, call, orders.Lost)
+		c.HandleResult(w.now, call, orders.Lost)
 	case 5: // done, and carried out once more later
 		w.late = append(w.late, call)
-		c.Answered(w.now, call, w.group.CarryOut(call))
+		c.HandleResult(w.now, call, w.group.CarryOut(call))
 	default:
-		c.Answered(w.now, call, w.group.CarryOut(call))
+		c.HandleResult(w.now, call, w.group.CarryOut(call))
 	}
 }
 
--- a/mapswitch/orders/numbergenerator_test.go
+++ b/mapswitch/orders/numbergenerator_test.go
@@ -57,7 +57,7 @@
 		if call.Fence > remembered {
 			return
 		}
-		c.Answered(now, call, orders.Outranked)
+		c.HandleResult(now, call, orders.Outranked)
 	}
 	t.Error("four attempts, and its fence is still below what its ranks have seen")
 }
--- a/mapswitch/orders/observing.go
+++ b/mapswitch/orders/observing.go
@@ -38,12 +38,12 @@
 	return s.Armed.Version
 }
 
-// Awaits reports that the attempt goes on once the rank is seen to have taken a step:
+// NeedsRead reports that the attempt goes on once the rank is seen to have taken a step:
 // to have copied, or to hold no more; or once it is read again.
-func (c *Coordinator) Awaits(now time.Time, r int) bool {
+func (c *Coordinator) NeedsRead(now time.Time, r int) bool {
 	switch c.phase {
 	case preparing:
-		return !c.hasCopied(r) || c.Ready() && !c.seen(now, r)
+		return !c.hasCopied(r) || c.AllPrepared() && !c.seen(now, r)
 	case releasing:
 		return r == c.self
 	default:
@@ -51,9 +51,9 @@
 	}
 }
 
-// Ready reports that all ranks have copied and the group is to be held as soon as all
+// AllPrepared reports that all ranks have copied and the group is to be held as soon as all
 // have been read.
-func (c *Coordinator) Ready() bool {
+func (c *Coordinator) AllPrepared() bool {
 	if c.phase != preparing {
 		return false
 	}
--- a/mapswitch/orders/giving.go
+++ b/mapswitch/orders/sending.go
@@ -87,8 +87,8 @@
 	return c.copies()
 }
 
-// Answered takes what became of a call.
-func (c *Coordinator) Answered(now time.Time, call Call, res Result) {
+// HandleResult takes what became of a call.
+func (c *Coordinator) HandleResult(now time.Time, call Call, res Result) {
 	j := &c.ranks[call.Rank].job
 	if call.id != j.id || j.done || c.phase == idle {
 		return
--- a/mapswitch/orders/telling_test.go
+++ b/mapswitch/orders/telling_test.go
@@ -58,14 +58,14 @@
 func TestOnlyRanksThatCopyAreAwaited(t *testing.T) {
 	begin := time.Unix(1_800_000_000, 0)
 	c := settledCoordinator(begin)
-	if c.Awaits(begin, 1) {
+	if c.NeedsRead(begin, 1) {
 		t.Error("a rank is awaited without an attempt")
 	}
 	c.Propose(begin, place, 0)
 	version := c.Next(begin)[0].Order.(orders.Prepare).Version
 	c.Observe(begin, 1, orders.State{Epoch: 1, Open: true, Step: 6, Prepared: version})
-	if c.Awaits(begin, 1) || !c.Awaits(begin, 2) {
-		t.Errorf("awaits rank 1: %v, rank 2: %v", c.Awaits(begin, 1), c.Awaits(begin, 2))
+	if c.NeedsRead(begin, 1) || !c.NeedsRead(begin, 2) {
+		t.Errorf("awaits rank 1: %v, rank 2: %v", c.NeedsRead(begin, 1), c.NeedsRead(begin, 2))
 	}
 }
 
@@ -96,8 +96,8 @@
 		c := settledCoordinator(now.Add(-time.Second))
 		version := copied(c, now, tc.ago...)
 		_, held := orderOf[orders.Hold](c.Next(now))
-		if held != tc.held || c.Awaits(now, 2) == tc.held {
-			t.Errorf("%s: held %v, awaits the last rank: %v", tc.name, held, c.Awaits(now, 2))
+		if held != tc.held || c.NeedsRead(now, 2) == tc.held {
+			t.Errorf("%s: held %v, awaits the last rank: %v", tc.name, held, c.NeedsRead(now, 2))
 		}
 		if tc.held {
 			continue
@@ -126,7 +126,7 @@
 	c := settledCoordinator(now.Add(-time.Second))
 	copied(c, now, 0, 0, 0)
 	hold := c.Next(now)
-	c.Answered(now, hold[0], orders.Done)
+	c.HandleResult(now, hold[0], orders.Done)
 	var given []time.Duration
 	for at := time.Duration(0); at < 2*time.Second; at += 20 * time.Millisecond {
 		for _, call := range c.Next(now.Add(at)) {
@@ -134,7 +134,7 @@
 				given = append(given, at)
 			}
 			if call.Rank != 2 {
-				c.Answered(now.Add(at), call, orders.Done)
+				c.HandleResult(now.Add(at), call, orders.Done)
 			}
 		}
 	}
--- a/node/rank/giving.go
+++ b/node/rank/giving.go
@@ -246,7 +246,7 @@
 	d.logOrder(e)
 	d.noteTold(e)
 	if d.coord != nil && e.call.Epoch == d.coord.Epoch() {
-		d.coord.Answered(now, e.call, e.result)
+		d.coord.HandleResult(now, e.call, e.result)
 	}
 }
 
--- a/node/rank/groupduty.go
+++ b/node/rank/groupduty.go
@@ -212,9 +212,9 @@
 		d.readAt, d.lookedAt = now, now
 		d.reach = time.Duration(reachFade * float64(d.reach))
 		d.readRanks(ctx, func(int) bool { return true })
-	case d.busy() && (now.Sub(d.lookedAt) >= readEvery/2 || d.coord.Ready()):
+	case d.busy() && (now.Sub(d.lookedAt) >= readEvery/2 || d.coord.AllPrepared()):
 		d.lookedAt = now
-		d.readRanks(ctx, func(r int) bool { return r == d.rank || d.coord.Awaits(now, r) })
+		d.readRanks(ctx, func(r int) bool { return r == d.rank || d.coord.NeedsRead(now, r) })
 	}
 }
 
--- a/node/rank/planning.go
+++ b/node/rank/planning.go
@@ -21,7 +21,7 @@
 
 // planIfDue plans with what was counted, once no change is under way.
 func (d *groupDuty) planIfDue(now time.Time) {
-	if d.due && d.leading && d.coord.Settled() && !d.isStopping() {
+	if d.due && d.leading && d.coord.CanPropose() && !d.isStopping() {
 		d.due = false
 		d.plan(now, d.estimate.Load())
 	}
