--- a/mapswitch/orders/rows.go
+++ b/mapswitch/orders/rows.go
@@ -11,9 +11,9 @@
 	Experts []int    `json:"experts"`
 }
 
-// Since gives the rows of p that differ from those of base; false if the two are not
+// Diff gives the rows of p that differ from those of base; false if the two are not
 // of one shape. Maps of large groups change in few rows, and are sent as these.
-func (p Placement) Since(base Placement) ([]Row, bool) {
+func (p Placement) Diff(base Placement) ([]Row, bool) {
 	if len(p) != len(base) {
 		return nil, false
 	}
@@ -31,9 +31,9 @@
 	return rows, true
 }
 
-// With gives p with the rows changed; false if one of them is outside its shape. p
+// Apply gives p with the rows changed; false if one of them is outside its shape. p
 // stays as it is.
-func (p Placement) With(rows []Row) (Placement, bool) {
+func (p Placement) Apply(rows []Row) (Placement, bool) {
 	out := make(Placement, len(p))
 	for l := range p {
 		out[l] = slices.Clone(p[l])
--- a/mapswitch/orders/rows_test.go
+++ b/mapswitch/orders/rows_test.go
@@ -14,19 +14,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		layers, ranks := rapid.IntRange(1, 4).Draw(t, "layers"), rapid.IntRange(1, 5).Draw(t, "ranks")
 		base, next := drawMap(t, layers, ranks), drawMap(t, layers, ranks)
-		before, _ := base.With(nil)
-		rows, ok := next.Since(base)
+		before, _ := base.Apply(nil)
+		rows, ok := next.Diff(base)
 		if !ok {
 			t.Fatal("maps of one shape cannot be compared")
 		}
-		got, ok := base.With(rows)
+		got, ok := base.Apply(rows)
 		if !ok || !reflect.DeepEqual(got, next) {
 			t.Fatalf("got %v, want %v", got, next)
 		}
 		if !reflect.DeepEqual(base, before) {
 			t.Fatal("the base was changed")
 		}
-		if rows, _ := next.Since(next); len(rows) != 0 {
+		if rows, _ := next.Diff(next); len(rows) != 0 {
 			t.Fatalf("a map differs from itself: %v", rows)
 		}
 	})
@@ -47,12 +47,12 @@
 	for name, row := range map[string]orders.Row{
 		"layer too high": {Layer: 1}, "layer below none": {Layer: -1}, "rank too high": {Rank: 2}, "rank below none": {Rank: -1},
 	} {
-		if _, ok := base.With([]orders.Row{row}); ok {
+		if _, ok := base.Apply([]orders.Row{row}); ok {
 			t.Errorf("%s: taken", name)
 		}
 	}
 	for name, other := range map[string]orders.Placement{"more layers": {{{0}, {1}}, {{0}, {1}}}, "more ranks": {{{0}, {1}, {2}}}} {
-		if _, ok := other.Since(base); ok {
+		if _, ok := other.Diff(base); ok {
 			t.Errorf("%s: compared", name)
 		}
 	}
--- a/node/rank/planning.go
+++ b/node/rank/planning.go
@@ -84,7 +84,7 @@
 		return
 	}
 	d.agent.common.Metrics.Count(telemetry.MovedExperts, d.group, plan.Moves)
-	rows, _ := orders.Placement(plan.Map).Since(current)
+	rows, _ := orders.Placement(plan.Map).Diff(current)
 	d.rows, d.copying = len(rows), plan.Copying
 	d.log("map proposed", "skew", plan.Before, "expected", plan.After, "moves", plan.Moves, "copying", plan.Copying)
 }
--- a/node/telling/placements.go
+++ b/node/telling/placements.go
@@ -38,7 +38,7 @@
 	if c.Base != 0 {
 		base, ok := p.known[c.Base]
 		if ok && c.Epoch == p.epoch {
-			c.Prepare.Map, ok = base.With(c.Rows)
+			c.Prepare.Map, ok = base.Apply(c.Rows)
 		}
 		if !ok || c.Epoch != p.epoch {
 			return mesh.UnknownBase(c.Base)
@@ -84,7 +84,7 @@
 	if !ok {
 		return c
 	}
-	rows, ok := c.Prepare.Map.Since(base.whole)
+	rows, ok := c.Prepare.Map.Diff(base.whole)
 	if !ok {
 		return c
 	}
--- a/node/telling/telling_test.go
+++ b/node/telling/telling_test.go
@@ -41,7 +41,7 @@
 		l := rnd.IntN(len(m))
 		rows = append(rows, orders.Row{Layer: l, Rank: r, Experts: append([]int{rnd.IntN(64)}, m[l][r]...)})
 	}
-	out, _ := m.With(rows)
+	out, _ := m.Apply(rows)
 	return out
 }
 
