--- a/mapswitch/orders/model/group.go
+++ b/mapswitch/orders/model/group.go
@@ -45,7 +45,7 @@
 // refuse orders with a lower fence than one that they have seen.
 func NewGroup(ranks int, checksFence bool) *Group {
 	g := &Group{epoch: 1, checksFence: checksFence}
-	g.FormAnew(ranks)
+	g.Reform(ranks)
 	return g
 }
 
@@ -55,20 +55,20 @@
 // Step is the last step that was begun.
 func (g *Group) Step() orders.Step { return g.step }
 
-// Broken states which step was begun on two maps; empty if none was.
-func (g *Group) Broken() string { return g.broken }
+// Violation states which step was begun on two maps; empty if none was.
+func (g *Group) Violation() string { return g.broken }
 
-// Using is the map that the rank uses; nil for the first.
-func (g *Group) Using(r int) orders.Placement { return g.ranks[r].using }
+// CurrentMap is the map that the rank uses; nil for the first.
+func (g *Group) CurrentMap(r int) orders.Placement { return g.ranks[r].using }
 
 // Copying reports whether the rank copies experts for a map.
 func (g *Group) Copying(r int) bool { return g.ranks[r].copying != 0 }
 
-// Copied ends the copying of a rank.
-func (g *Group) Copied(r int) { g.ranks[r].copied() }
+// FinishCopying ends the copying of a rank.
+func (g *Group) FinishCopying(r int) { g.ranks[r].copied() }
 
-// FormAnew starts a new epoch with map 0 and nothing prepared, armed or held.
-func (g *Group) FormAnew(ranks int) {
+// Reform starts a new epoch with map 0 and nothing prepared, armed or held.
+func (g *Group) Reform(ranks int) {
 	g.epoch++
 	g.ranks = nil
 	for range ranks {
@@ -76,8 +76,8 @@
 	}
 }
 
-// Begin begins the next step unless a rank holds it.
-func (g *Group) Begin() bool {
+// BeginStep begins the next step unless a rank holds it.
+func (g *Group) BeginStep() bool {
 	next := g.step + 1
 	for _, r := range g.ranks {
 		if r.held != nil && *r.held <= next {
@@ -113,8 +113,8 @@
 	return s
 }
 
-// CarryOut takes an order as it arrives.
-func (g *Group) CarryOut(c orders.Call) orders.Result {
+// Execute takes an order as it arrives.
+func (g *Group) Execute(c orders.Call) orders.Result {
 	r := g.ranks[c.Rank]
 	if c.Epoch != g.epoch {
 		return orders.Refused
--- a/mapswitch/orders/model_test.go
+++ b/mapswitch/orders/model_test.go
@@ -80,16 +80,16 @@
 	w.t.Logf("coordinator of fence %d gives rank %d %s %+v: fate %d", call.Fence, call.Rank, orders.Name(call.Order), call.Order, fate)
 	switch fate {
 	case 3: // done, and the answer is lost
-		w.group.CarryOut(call)
+		w.group.Execute(call)
 		c.HandleResult(w.now, call, orders.Lost)
 	case 4: // no answer, and it may be carried out later
 		w.late = append(w.late, call)
 		c.HandleResult(w.now, call, orders.Lost)
 	case 5: // done, and carried out once more later
 		w.late = append(w.late, call)
-		c.HandleResult(w.now, call, w.group.CarryOut(call))
+		c.HandleResult(w.now, call, w.group.Execute(call))
 	default:
-		c.HandleResult(w.now, call, w.group.CarryOut(call))
+		c.HandleResult(w.now, call, w.group.Execute(call))
 	}
 }
 
@@ -117,13 +117,13 @@
 			c.Propose(w.now, place, 0)
 		}
 	case 14, 15:
-		w.group.Copied(rank)
+		w.group.FinishCopying(rank)
 	case 16, 17:
-		w.t.Logf("step after %d begins: %v", w.group.Step(), w.group.Begin())
+		w.t.Logf("step after %d begins: %v", w.group.Step(), w.group.BeginStep())
 	case 18:
 		if len(w.late) > 0 {
 			i := rapid.IntRange(0, len(w.late)-1).Draw(w.t, "late")
-			w.t.Logf("late: rank %d %+v: %v", w.late[i].Rank, w.late[i].Order, w.group.CarryOut(w.late[i]))
+			w.t.Logf("late: rank %d %+v: %v", w.late[i].Rank, w.late[i].Order, w.group.Execute(w.late[i]))
 			w.late = append(w.late[:i], w.late[i+1:]...)
 		}
 	case 19:
@@ -139,7 +139,7 @@
 	case 1, 2, 3:
 		w.restart(coord)
 	case 4:
-		w.group.FormAnew(modelRanks)
+		w.group.Reform(modelRanks)
 	}
 }
 
@@ -151,8 +151,8 @@
 		w := newWorld(rt)
 		for range modelSteps {
 			w.act()
-			if w.group.Broken() != "" {
-				rt.Fatal(w.group.Broken())
+			if w.group.Violation() != "" {
+				rt.Fatal(w.group.Violation())
 			}
 		}
 		w.settle(rt)
@@ -167,8 +167,8 @@
 	w.restart(0)
 	for range 120 {
 		w.round()
-		if w.group.Broken() != "" {
-			t.Fatal(w.group.Broken())
+		if w.group.Violation() != "" {
+			t.Fatal(w.group.Violation())
 		}
 	}
 	for r := range modelRanks {
@@ -197,9 +197,9 @@
 func (w *world) round() {
 	w.now = w.now.Add(25 * time.Millisecond)
 	for r := range modelRanks {
-		w.group.Copied(r)
+		w.group.FinishCopying(r)
 		w.observe(w.coords[0], r)
 	}
 	w.turn(0)
-	w.group.Begin()
+	w.group.BeginStep()
 }
