--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -172,7 +172,7 @@
 			load[l] = append(load[l], math.Pow(float64((e*7+l)%s.Experts+1), -1))
 		}
 	}
-	p := rebalance.Planner{Shape: s, Horizon: 2 * time.Second, Slowdown: 0.15, MostCopies: 1}
+	p := rebalance.Planner{Shape: s, Horizon: 2 * time.Second, CopySlowdown: 0.15, MaxCopies: 1}
 	return nanos(func() { p.Plan(m, load) })
 }
 
--- a/experts/rebalance/large_test.go
+++ b/experts/rebalance/large_test.go
@@ -17,7 +17,7 @@
 // changes take 0.3 s besides: the time to tell 96 ranks a map of 9 KB over 6 Mbit/s.
 func broadPlanner() rebalance.Planner {
 	return rebalance.Planner{
-		Shape: broad, Horizon: 2 * time.Second, Slowdown: 0.15, MostCopies: 8, Least: 0.08, Overhead: 300 * time.Millisecond,
+		Shape: broad, Horizon: 2 * time.Second, CopySlowdown: 0.15, MaxCopies: 8, MinSaving: 0.08, Overhead: 300 * time.Millisecond,
 	}
 }
 
@@ -35,7 +35,7 @@
 		if first.Before < 3 || first.After > 1.3 {
 			t.Errorf("shift %d: the first change goes from %.2f to %.2f", shift, first.Before, first.After)
 		}
-		if err := check(broad, m, first.Map, p.MostCopies); err != nil {
+		if err := check(broad, m, first.Map, p.MaxCopies); err != nil {
 			t.Errorf("shift %d: %v", shift, err)
 		}
 		if again := p.Plan(first.Map, load); again.Worth() {
--- a/experts/rebalance/planner.go
+++ b/experts/rebalance/planner.go
@@ -25,20 +25,20 @@
 // Planner plans maps.
 type Planner struct {
 	Shape Shape
-	// Pace is by rank how many times longer than usual its work takes; a rank that is
+	// Slowdowns is by rank how many times longer than usual its work takes; a rank that is
 	// not in it, or has less than 1, works at the usual pace. A slow rank is given less.
-	Pace []float64
+	Slowdowns []float64
 	// Horizon is for how long the load is taken to stay as it is.
 	Horizon time.Duration
-	// Slowdown is how much longer steps are while a rank copies, as a share.
-	Slowdown float64
-	// MostCopies bounds the copies of one rank in one plan.
-	MostCopies int
+	// CopySlowdown is how much longer steps are while a rank copies, as a share.
+	CopySlowdown float64
+	// MaxCopies bounds the copies of one rank in one plan.
+	MaxCopies int
 	// Overhead is what a change of maps takes beside the copies: telling it, holding,
 	// arming. While the skew is steep a plan copies no longer than that.
 	Overhead time.Duration
-	// Least is the time that a plan must save within the horizon, as a share of it.
-	Least float64
+	// MinSaving is the time that a plan must save within the horizon, as a share of it.
+	MinSaving float64
 }
 
 // steepSkew is the skew from which a plan copies no longer than its change takes anyway,
@@ -48,12 +48,12 @@
 // would need many changes in place of one.
 const steepSkew = 2
 
-// mostCopies is MostCopies, or what a steep skew allows of it.
+// mostCopies is MaxCopies, or what a steep skew allows of it.
 func (p Planner) mostCopies(skew float64) int {
 	if skew <= steepSkew {
-		return p.MostCopies
+		return p.MaxCopies
 	}
-	return min(p.MostCopies, max(1, int(p.Overhead/max(p.Shape.Copy, 1))))
+	return min(p.MaxCopies, max(1, int(p.Overhead/max(p.Shape.Copy, 1))))
 }
 
 // Plan is a map and what is expected of it.
@@ -79,8 +79,8 @@
 	if s.even == 0 {
 		return Plan{Map: m, Before: 1, After: 1}
 	}
-	best := Plan{Map: m, Before: s.skew(), After: s.skew(), least: p.Least}
-	p.MostCopies = p.mostCopies(best.Before)
+	best := Plan{Map: m, Before: s.skew(), After: s.skew(), least: p.MinSaving}
+	p.MaxCopies = p.mostCopies(best.Before)
 	var taken []step
 	keep := 0
 	for {
@@ -110,7 +110,7 @@
 	c := min(copying.Seconds()/p.Horizon.Seconds(), 1)
 	was := p.stepTime(before)
 	gain := (was - p.stepTime(after)) / was
-	return gain*(1-c) - p.Slowdown*c
+	return gain*(1-c) - p.CopySlowdown*c
 }
 
 // stepTime is the time of a step relative to one with even ranks.
@@ -153,8 +153,8 @@
 	all := make([]float64, p.Shape.Ranks)
 	for r := range all {
 		all[r] = 1
-		if r < len(p.Pace) {
-			all[r] = max(p.Pace[r], 1)
+		if r < len(p.Slowdowns) {
+			all[r] = max(p.Slowdowns[r], 1)
 		}
 	}
 	return all
@@ -187,7 +187,7 @@
 	for i, l := range s.layers {
 		if s.stale[i] {
 			s.best[i] = l.best(func(r int) bool {
-				return s.copies[r] < p.MostCopies && l.fresh[r] < p.Shape.Staging
+				return s.copies[r] < p.MaxCopies && l.fresh[r] < p.Shape.Staging
 			})
 			s.stale[i] = false
 		}
@@ -202,7 +202,7 @@
 	s.layers[at].apply(st.change)
 	s.stale[at] = true
 	to := st.change.to
-	if s.copies[to]++; s.copies[to] >= p.MostCopies {
+	if s.copies[to]++; s.copies[to] >= p.MaxCopies {
 		for i := range s.stale {
 			s.stale[i] = s.stale[i] || s.best[i].to == to
 		}
--- a/experts/rebalance/planner_test.go
+++ b/experts/rebalance/planner_test.go
@@ -17,7 +17,7 @@
 var usual = rebalance.Shape{Ranks: 8, Layers: 6, Experts: 64, Places: 11, Staging: 4, Copy: 150 * time.Millisecond, Share: 0.85}
 
 func planner(s rebalance.Shape) rebalance.Planner {
-	return rebalance.Planner{Shape: s, Horizon: 2 * time.Second, Slowdown: 0.15, MostCopies: 1, Least: 0.05}
+	return rebalance.Planner{Shape: s, Horizon: 2 * time.Second, CopySlowdown: 0.15, MaxCopies: 1, MinSaving: 0.05}
 }
 
 // dealt deals the experts in turn.
@@ -93,12 +93,12 @@
 		}
 		s.Places = (s.Experts+s.Ranks-1)/s.Ranks + rapid.IntRange(0, 3).Draw(rt, "free")
 		p := planner(s)
-		p.MostCopies = rapid.IntRange(1, 4).Draw(rt, "copies")
-		p.Least = 0
+		p.MaxCopies = rapid.IntRange(1, 4).Draw(rt, "copies")
+		p.MinSaving = 0
 		m := dealt(s)
 		for range 5 {
 			plan := p.Plan(m, zipf(s, rapid.Uint64().Draw(rt, "seed")))
-			if err := check(s, m, plan.Map, p.MostCopies); err != nil {
+			if err := check(s, m, plan.Map, p.MaxCopies); err != nil {
 				rt.Fatal(err)
 			}
 			if plan.After > plan.Before+1e-9 {
@@ -212,7 +212,7 @@
 
 func ExamplePlanner_Plan() {
 	s := rebalance.Shape{Ranks: 2, Layers: 1, Experts: 2, Places: 2, Staging: 1, Copy: 10 * time.Millisecond, Share: 1}
-	p := rebalance.Planner{Shape: s, Horizon: time.Second, MostCopies: 1}
+	p := rebalance.Planner{Shape: s, Horizon: time.Second, MaxCopies: 1}
 	plan := p.Plan(rebalance.Map{{{0}, {1}}}, rebalance.Load{{9, 1}})
 	fmt.Println(plan.Map, plan.Worth())
 	// Output: [[[0 1] [0 1]]] true
@@ -240,13 +240,13 @@
 	}
 	for _, tc := range tests {
 		p := planner(tc.shape)
-		p.MostCopies = 4
+		p.MaxCopies = 4
 		m, load := dealt(tc.shape), zipf(tc.shape, 3)
 		for range 6 {
 			m = p.Plan(m, load).Map
 		}
-		p.Pace = slices.Repeat([]float64{tc.pace}, tc.slow)
-		p.Least = 0.01
+		p.Slowdowns = slices.Repeat([]float64{tc.pace}, tc.slow)
+		p.MinSaving = 0.01
 		first := p.Plan(m, load)
 		before, after := first.Before, first.After
 		m = first.Map
@@ -257,7 +257,7 @@
 		if before < 0.75*tc.pace || after > 1.35 {
 			t.Errorf("%s: uneven by %.2f before and %.2f after", tc.name, before, after)
 		}
-		p.Pace = nil
+		p.Slowdowns = nil
 		for range 8 {
 			plan := p.Plan(m, load)
 			m, after = plan.Map, plan.After
@@ -270,7 +270,7 @@
 
 func TestASteepSkewIsFirstMendedWithOneCopyARank(t *testing.T) {
 	p := planner(usual)
-	p.MostCopies, p.Least = 4, 0.01
+	p.MaxCopies, p.MinSaving = 4, 0.01
 	m, load := dealt(usual), zipf(usual, 5)
 	first := p.Plan(m, load)
 	if first.Before < 2 || first.Copying != usual.Copy || first.After > first.Before*2/3 {
--- a/experts/rebalance/bound.go
+++ b/experts/rebalance/skewbound.go
@@ -1,9 +1,9 @@
 package rebalance
 
-// Bound is the least load of the hottest ranks over that of even ones that any map of the
+// SkewLowerBound is the least load of the hottest ranks over that of even ones that any map of the
 // shape can have under the load: an expert's tokens are split evenly over its copies, and
 // there are only so many places.
-func Bound(s Shape, load Load) float64 {
+func SkewLowerBound(s Shape, load Load) float64 {
 	hot, even := 0.0, 0.0
 	for _, tokens := range load {
 		total := 0.0
--- a/experts/rebalance/bound_test.go
+++ b/experts/rebalance/skewbound_test.go
@@ -23,7 +23,7 @@
 			if name == "one hot expert, no places" {
 				s.Places = 2
 			}
-			if got := rebalance.Bound(s, rebalance.Load{tt.load}); math.Abs(got-tt.want) > 1e-9 {
+			if got := rebalance.SkewLowerBound(s, rebalance.Load{tt.load}); math.Abs(got-tt.want) > 1e-9 {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
@@ -33,13 +33,13 @@
 // TestNoPlanBeatsTheBound plans on until nothing helps any more.
 func TestNoPlanBeatsTheBound(t *testing.T) {
 	p := planner(usual)
-	p.Least, p.MostCopies = 0, 4
+	p.MinSaving, p.MaxCopies = 0, 4
 	for seed := range uint64(5) {
 		load, m := zipf(usual, seed), dealt(usual)
 		for range 30 {
 			m = p.Plan(m, load).Map
 		}
-		if reached, bound := p.Plan(m, load).Before, rebalance.Bound(usual, load); reached < bound-1e-9 {
+		if reached, bound := p.Plan(m, load).Before, rebalance.SkewLowerBound(usual, load); reached < bound-1e-9 {
 			t.Errorf("seed %d: reached %v, under the bound %v", seed, reached, bound)
 		}
 	}
