--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -113,7 +113,7 @@
 // group: at five questions a second for five seconds.
 func question(ranks int) float64 {
 	const questions = 25
-	taught := &mesh.WatchQuery{Epoch: 3, Shape: &rebalance.Shape{Ranks: ranks, Layers: 16, Experts: 96, Places: 5, Staging: 2, Copy: time.Second, Share: 0.85}}
+	taught := &mesh.WatchQuery{Epoch: 3, Shape: &rebalance.Shape{Ranks: ranks, Layers: 16, Experts: 96, Slots: 5, Staging: 2, CopyTime: time.Second, ExpertShare: 0.85}}
 	for r := range ranks {
 		taught.Members = append(taught.Members, mesh.Member{Rank: r, Instance: instance(r), Target: "10.1.0.40:8000", Agent: "10.1.0.40:7355"})
 	}
@@ -158,12 +158,12 @@
 
 func plan(size int) float64 {
 	shapes := map[int]rebalance.Shape{
-		3456:   {Ranks: 12, Layers: 3, Experts: 96, Places: 11, Staging: 4},
-		36864:  {Ranks: 24, Layers: 16, Experts: 96, Places: 5, Staging: 2},
-		245760: {Ranks: 64, Layers: 60, Experts: 64, Places: 5, Staging: 2},
+		3456:   {Ranks: 12, Layers: 3, Experts: 96, Slots: 11, Staging: 4},
+		36864:  {Ranks: 24, Layers: 16, Experts: 96, Slots: 5, Staging: 2},
+		245760: {Ranks: 64, Layers: 60, Experts: 64, Slots: 5, Staging: 2},
 	}
 	s := shapes[size]
-	s.Copy, s.Share = 100*time.Millisecond, 0.85
+	s.CopyTime, s.ExpertShare = 100*time.Millisecond, 0.85
 	m, load := make(rebalance.Map, s.Layers), make(rebalance.Load, s.Layers)
 	for l := range m {
 		m[l] = make([][]int, s.Ranks)
--- a/demo/result.go
+++ b/demo/result.go
@@ -83,7 +83,7 @@
 			dealt[layer][e%s.Ranks] = append(dealt[layer][e%s.Ranks], e)
 		}
 	}
-	shape := rebalance.Shape{Ranks: s.Ranks, Layers: s.Layers, Experts: s.Experts, Places: s.Places}
+	shape := rebalance.Shape{Ranks: s.Ranks, Layers: s.Layers, Experts: s.Experts, Slots: s.Places}
 	return rebalance.Planner{Shape: shape}.Plan(dealt, load).Before, rebalance.SkewLowerBound(shape, load)
 }
 
--- a/experts/rebalance/large_test.go
+++ b/experts/rebalance/large_test.go
@@ -10,7 +10,7 @@
 // broad is the shape of a group of 96 ranks in which each has room for one expert more
 // than the map it starts with.
 var broad = rebalance.Shape{
-	Ranks: 96, Layers: 16, Experts: 192, Places: 3, Staging: 2, Copy: 18300 * time.Microsecond, Share: 0.85,
+	Ranks: 96, Layers: 16, Experts: 192, Slots: 3, Staging: 2, CopyTime: 18300 * time.Microsecond, ExpertShare: 0.85,
 }
 
 // broadPlanner copies for 150 ms at the most, as the default settings say, and its
@@ -53,9 +53,9 @@
 		overhead time.Duration
 		want     time.Duration
 	}{
-		{"nothing is known of it", 0, broad.Copy},
-		{"quick", 40 * time.Millisecond, 2 * broad.Copy},
-		{"slow", time.Second, 8 * broad.Copy},
+		{"nothing is known of it", 0, broad.CopyTime},
+		{"quick", 40 * time.Millisecond, 2 * broad.CopyTime},
+		{"slow", time.Second, 8 * broad.CopyTime},
 	} {
 		p := broadPlanner()
 		p.Overhead = tc.overhead
--- a/experts/rebalance/planner.go
+++ b/experts/rebalance/planner.go
@@ -10,10 +10,10 @@
 	Ranks   int           `json:"ranks"`
 	Layers  int           `json:"layers"`
 	Experts int           `json:"experts"` // of a layer
-	Places  int           `json:"places"`  // experts of a layer that a rank holds at the most
+	Slots  int           `json:"places"`  // experts of a layer that a rank holds at the most
 	Staging int           `json:"staging"` // experts of a layer that a rank copies in for one map
-	Copy    time.Duration `json:"copy"`    // of one expert
-	Share   float64       `json:"share"`   // of a step's work that goes to experts
+	CopyTime    time.Duration `json:"copy"`    // of one expert
+	ExpertShare   float64       `json:"share"`   // of a step's work that goes to experts
 }
 
 // Load is tokens by layer and expert.
@@ -53,7 +53,7 @@
 	if skew <= steepSkew {
 		return p.MaxCopies
 	}
-	return min(p.MaxCopies, max(1, int(p.Overhead/max(p.Shape.Copy, 1))))
+	return min(p.MaxCopies, max(1, int(p.Overhead/max(p.Shape.CopyTime, 1))))
 }
 
 // Plan is a map and what is expected of it.
@@ -89,7 +89,7 @@
 			break
 		}
 		taken = append(taken, st)
-		copying := time.Duration(slices.Max(s.copies)) * p.Shape.Copy
+		copying := time.Duration(slices.Max(s.copies)) * p.Shape.CopyTime
 		if saved := p.saves(best.Before, s.skew(), copying); saved > best.saved {
 			best.saved, best.After, best.Copying, best.Moves = saved, s.skew(), copying, len(taken)
 			keep = len(taken)
@@ -114,7 +114,7 @@
 }
 
 // stepTime is the time of a step relative to one with even ranks.
-func (p Planner) stepTime(skew float64) float64 { return 1 - p.Shape.Share + p.Shape.Share*skew }
+func (p Planner) stepTime(skew float64) float64 { return 1 - p.Shape.ExpertShare + p.Shape.ExpertShare*skew }
 
 // step is a change of one layer.
 type step struct {
@@ -138,7 +138,7 @@
 		speed += 1 / x
 	}
 	for i := range m {
-		l := newLayer(m[i], load[i], pace, p.Shape.Places)
+		l := newLayer(m[i], load[i], pace, p.Shape.Slots)
 		s.layers = append(s.layers, l)
 		s.stale[i] = true
 		for _, t := range load[i] {
--- a/experts/rebalance/planner_test.go
+++ b/experts/rebalance/planner_test.go
@@ -14,7 +14,7 @@
 )
 
 // usual is the shape of a group of today.
-var usual = rebalance.Shape{Ranks: 8, Layers: 6, Experts: 64, Places: 11, Staging: 4, Copy: 150 * time.Millisecond, Share: 0.85}
+var usual = rebalance.Shape{Ranks: 8, Layers: 6, Experts: 64, Slots: 11, Staging: 4, CopyTime: 150 * time.Millisecond, ExpertShare: 0.85}
 
 func planner(s rebalance.Shape) rebalance.Planner {
 	return rebalance.Planner{Shape: s, Horizon: 2 * time.Second, CopySlowdown: 0.15, MaxCopies: 1, MinSaving: 0.05}
@@ -54,7 +54,7 @@
 	for l := range after {
 		held := make([]int, s.Experts)
 		for r, list := range after[l] {
-			if len(list) > s.Places {
+			if len(list) > s.Slots {
 				return fmt.Errorf("layer %d: rank %d holds %d experts", l, r, len(list))
 			}
 			fresh := 0
@@ -89,9 +89,9 @@
 		s := rebalance.Shape{
 			Ranks: rapid.IntRange(2, 9).Draw(rt, "ranks"), Layers: rapid.IntRange(1, 4).Draw(rt, "layers"),
 			Experts: rapid.IntRange(4, 40).Draw(rt, "experts"), Staging: rapid.IntRange(1, 4).Draw(rt, "staging"),
-			Copy: 100 * time.Millisecond, Share: 0.85,
+			CopyTime: 100 * time.Millisecond, ExpertShare: 0.85,
 		}
-		s.Places = (s.Experts+s.Ranks-1)/s.Ranks + rapid.IntRange(0, 3).Draw(rt, "free")
+		s.Slots = (s.Experts+s.Ranks-1)/s.Ranks + rapid.IntRange(0, 3).Draw(rt, "free")
 		p := planner(s)
 		p.MaxCopies = rapid.IntRange(1, 4).Draw(rt, "copies")
 		p.MinSaving = 0
@@ -160,7 +160,7 @@
 
 func TestSlowCopiesAreNotWorthAShortHorizon(t *testing.T) {
 	p := planner(usual)
-	p.Shape.Copy = 3 * time.Second
+	p.Shape.CopyTime = 3 * time.Second
 	if plan := p.Plan(dealt(usual), zipf(usual, 1)); plan.Worth() {
 		t.Errorf("%d moves that take longer than the load is taken to last", plan.Moves)
 	}
@@ -211,7 +211,7 @@
 }
 
 func ExamplePlanner_Plan() {
-	s := rebalance.Shape{Ranks: 2, Layers: 1, Experts: 2, Places: 2, Staging: 1, Copy: 10 * time.Millisecond, Share: 1}
+	s := rebalance.Shape{Ranks: 2, Layers: 1, Experts: 2, Slots: 2, Staging: 1, CopyTime: 10 * time.Millisecond, ExpertShare: 1}
 	p := rebalance.Planner{Shape: s, Horizon: time.Second, MaxCopies: 1}
 	plan := p.Plan(rebalance.Map{{{0}, {1}}}, rebalance.Load{{9, 1}})
 	fmt.Println(plan.Map, plan.Worth())
@@ -226,7 +226,7 @@
 }
 
 func TestASlowRankGetsLess(t *testing.T) {
-	grown := rebalance.Shape{Ranks: 32, Layers: 12, Experts: 128, Places: 5, Staging: 2, Copy: 36 * time.Millisecond, Share: 0.85}
+	grown := rebalance.Shape{Ranks: 32, Layers: 12, Experts: 128, Slots: 5, Staging: 2, CopyTime: 36 * time.Millisecond, ExpertShare: 0.85}
 	tests := []struct {
 		name  string
 		shape rebalance.Shape
@@ -273,13 +273,13 @@
 	p.MaxCopies, p.MinSaving = 4, 0.01
 	m, load := dealt(usual), zipf(usual, 5)
 	first := p.Plan(m, load)
-	if first.Before < 2 || first.Copying != usual.Copy || first.After > first.Before*2/3 {
+	if first.Before < 2 || first.Copying != usual.CopyTime || first.After > first.Before*2/3 {
 		t.Errorf("uneven by %.2f, then %.2f after copying for %v", first.Before, first.After, first.Copying)
 	}
 	for range 9 {
 		plan := p.Plan(m, load)
 		if plan.Before <= 2 {
-			if plan.Moves > 0 && plan.Copying <= usual.Copy {
+			if plan.Moves > 0 && plan.Copying <= usual.CopyTime {
 				t.Errorf("uneven by %.2f, and copying for %v only", plan.Before, plan.Copying)
 			}
 			return
--- a/experts/rebalance/skewbound.go
+++ b/experts/rebalance/skewbound.go
@@ -26,7 +26,7 @@
 	for e := range copies {
 		copies[e] = 1
 	}
-	for free := s.Ranks*s.Places - len(tokens); ; free-- {
+	for free := s.Ranks*s.Slots - len(tokens); ; free-- {
 		hot := -1
 		for e, t := range tokens {
 			if hot < 0 || t/float64(copies[e]) > tokens[hot]/float64(copies[hot]) {
--- a/experts/rebalance/skewbound_test.go
+++ b/experts/rebalance/skewbound_test.go
@@ -19,9 +19,9 @@
 		"no load":                      {2, []float64{0, 0, 0, 0}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := rebalance.Shape{Ranks: 2, Layers: 1, Experts: 4, Places: tt.places}
+			s := rebalance.Shape{Ranks: 2, Layers: 1, Experts: 4, Slots: tt.places}
 			if name == "one hot expert, no places" {
-				s.Places = 2
+				s.Slots = 2
 			}
 			if got := rebalance.SkewLowerBound(s, rebalance.Load{tt.load}); math.Abs(got-tt.want) > 1e-9 {
 				t.Errorf("got %v, want %v", got, tt.want)
--- a/node/rank/giving.go
+++ b/node/rank/giving.go
@@ -270,7 +270,7 @@
 func (d *groupDuty) telling() time.Duration {
 	each := d.tellingOne()
 	if d.told.All(d.size) {
-		each = min(each, d.sending(d.rows*(d.shape.Places+rowHead)*placeBytes, 1))
+		each = min(each, d.sending(d.rows*(d.shape.Slots+rowHead)*placeBytes, 1))
 	}
 	if d.relays != nil {
 		parts := max(d.relays.Parts(), 1)
@@ -281,5 +281,5 @@
 
 // tellingOne is how long it takes to send one rank a whole map.
 func (d *groupDuty) tellingOne() time.Duration {
-	return d.sending(d.shape.Layers*d.size*d.shape.Places*placeBytes, 1)
+	return d.sending(d.shape.Layers*d.size*d.shape.Slots*placeBytes, 1)
 }
--- a/node/telling/telling_test.go
+++ b/node/telling/telling_test.go
@@ -18,7 +18,7 @@
 var (
 	begin = time.Unix(1_800_000_000, 0)
 	// large is the shape of a group of a few dozen ranks.
-	large = rebalance.Shape{Ranks: 32, Layers: 12, Experts: 128, Places: 5}
+	large = rebalance.Shape{Ranks: 32, Layers: 12, Experts: 128, Slots: 5}
 )
 
 // dealt deals the experts of a shape in turn, as in the first map of a group.
--- a/node/watching.go
+++ b/node/watching.go
@@ -264,7 +264,7 @@
 	}
 	x := s.Engine.Experts
 	return &rebalance.Shape{
-		Layers: x.Layers, Experts: x.PerSet, Places: x.Places, Staging: x.Staging, Copy: x.Load, Share: x.Share,
+		Layers: x.Layers, Experts: x.PerSet, Slots: x.Places, Staging: x.Staging, CopyTime: x.Load, ExpertShare: x.Share,
 	}
 }
 
