--- a/demo/result.go
+++ b/demo/result.go
@@ -84,7 +84,7 @@
 		}
 	}
 	shape := rebalance.Shape{Ranks: s.Ranks, Layers: s.Layers, Experts: s.Experts, Slots: s.Places}
-	return rebalance.Planner{Shape: shape}.Plan(dealt, load).Before, rebalance.SkewLowerBound(shape, load)
+	return rebalance.Planner{Shape: shape}.Plan(dealt, load).SkewBefore, rebalance.SkewLowerBound(shape, load)
 }
 
 // Broken is what must never be: a step on two maps, or an answer that was not the
--- a/experts/rebalance/doc.go
+++ b/experts/rebalance/doc.go
@@ -16,5 +16,5 @@
 //
 //	p := rebalance.Planner{Shape: shape, Horizon: 2 * time.Second}
 //	plan := p.Plan(current, load)
-//	if plan.Worth() { propose(plan.Map, plan.Copying) }
+//	if plan.Worthwhile() { propose(plan.Map, plan.CopyTime) }
 package rebalance
--- a/experts/rebalance/large_test.go
+++ b/experts/rebalance/large_test.go
@@ -32,14 +32,14 @@
 	for shift := range uint64(3) {
 		load := flatZipf(broad, shift)
 		first := p.Plan(m, load)
-		if first.Before < 3 || first.After > 1.3 {
-			t.Errorf("shift %d: the first change goes from %.2f to %.2f", shift, first.Before, first.After)
+		if first.SkewBefore < 3 || first.SkewAfter > 1.3 {
+			t.Errorf("shift %d: the first change goes from %.2f to %.2f", shift, first.SkewBefore, first.SkewAfter)
 		}
 		if err := check(broad, m, first.Map, p.MaxCopies); err != nil {
 			t.Errorf("shift %d: %v", shift, err)
 		}
-		if again := p.Plan(first.Map, load); again.Worth() {
-			t.Errorf("shift %d: a second change from %.2f to %.2f is wanted", shift, again.Before, again.After)
+		if again := p.Plan(first.Map, load); again.Worthwhile() {
+			t.Errorf("shift %d: a second change from %.2f to %.2f is wanted", shift, again.SkewBefore, again.SkewAfter)
 		}
 		m = first.Map
 	}
@@ -59,8 +59,8 @@
 	} {
 		p := broadPlanner()
 		p.Overhead = tc.overhead
-		if plan := p.Plan(dealt(broad), flatZipf(broad, 1)); plan.Copying != tc.want {
-			t.Errorf("%s: copies for %v, want %v", tc.name, plan.Copying, tc.want)
+		if plan := p.Plan(dealt(broad), flatZipf(broad, 1)); plan.CopyTime != tc.want {
+			t.Errorf("%s: copies for %v, want %v", tc.name, plan.CopyTime, tc.want)
 		}
 	}
 }
--- a/experts/rebalance/planner.go
+++ b/experts/rebalance/planner.go
@@ -59,28 +59,28 @@
 // Plan is a map and what is expected of it.
 type Plan struct {
 	Map           Map
-	Before, After float64       // load of the hottest ranks over that of even ranks
-	Copying       time.Duration // until all ranks are ready
-	Moves         int           // copies over all ranks
+	SkewBefore, SkewAfter float64       // load of the hottest ranks over that of even ranks
+	CopyTime       time.Duration // until all ranks are ready
+	Copies         int           // copies over all ranks
 	saved         float64       // of the horizon
 	least         float64
 }
 
-// Worth reports whether to go over to the plan's map.
-func (p Plan) Worth() bool { return p.Moves > 0 && p.saved > p.least }
+// Worthwhile reports whether to go over to the plan's map.
+func (p Plan) Worthwhile() bool { return p.Copies > 0 && p.saved > p.least }
 
-// Saved is the share of the horizon that the plan saves.
-func (p Plan) Saved() float64 { return p.saved }
+// Saving is the share of the horizon that the plan saves.
+func (p Plan) Saving() float64 { return p.saved }
 
 // Plan finds the next map. The load must be of the planner's shape, and every
 // expert held by a rank of the map.
 func (p Planner) Plan(m Map, load Load) Plan {
 	s := p.start(m, load)
 	if s.even == 0 {
-		return Plan{Map: m, Before: 1, After: 1}
+		return Plan{Map: m, SkewBefore: 1, SkewAfter: 1}
 	}
-	best := Plan{Map: m, Before: s.skew(), After: s.skew(), least: p.MinSaving}
-	p.MaxCopies = p.mostCopies(best.Before)
+	best := Plan{Map: m, SkewBefore: s.skew(), SkewAfter: s.skew(), least: p.MinSaving}
+	p.MaxCopies = p.mostCopies(best.SkewBefore)
 	var taken []step
 	keep := 0
 	for {
@@ -90,8 +90,8 @@
 		}
 		taken = append(taken, st)
 		copying := time.Duration(slices.Max(s.copies)) * p.Shape.CopyTime
-		if saved := p.saves(best.Before, s.skew(), copying); saved > best.saved {
-			best.saved, best.After, best.Copying, best.Moves = saved, s.skew(), copying, len(taken)
+		if saved := p.saves(best.SkewBefore, s.skew(), copying); saved > best.saved {
+			best.saved, best.SkewAfter, best.CopyTime, best.Copies = saved, s.skew(), copying, len(taken)
 			keep = len(taken)
 		}
 	}
--- a/experts/rebalance/planner_test.go
+++ b/experts/rebalance/planner_test.go
@@ -101,8 +101,8 @@
 			if err := check(s, m, plan.Map, p.MaxCopies); err != nil {
 				rt.Fatal(err)
 			}
-			if plan.After > plan.Before+1e-9 {
-				rt.Fatalf("uneven by %.3f before and %.3f after", plan.Before, plan.After)
+			if plan.SkewAfter > plan.SkewBefore+1e-9 {
+				rt.Fatalf("uneven by %.3f before and %.3f after", plan.SkewBefore, plan.SkewAfter)
 			}
 			m = plan.Map
 		}
@@ -117,13 +117,13 @@
 		changes := 0
 		for ; changes < 12; changes++ {
 			last = p.Plan(m, load)
-			if !last.Worth() {
+			if !last.Worthwhile() {
 				break
 			}
 			m = last.Map
 		}
-		if last.Before > 1.35 || changes > 8 {
-			t.Errorf("seed %d: %.2f times the mean after %d changes", seed, last.Before, changes)
+		if last.SkewBefore > 1.35 || changes > 8 {
+			t.Errorf("seed %d: %.2f times the mean after %d changes", seed, last.SkewBefore, changes)
 		}
 	}
 }
@@ -135,8 +135,8 @@
 		m = p.Plan(m, zipf(usual, 1)).Map
 	}
 	shifted := p.Plan(m, zipf(usual, 2))
-	if shifted.Before < 2 || shifted.After > 0.7*shifted.Before {
-		t.Errorf("from %.2f to %.2f", shifted.Before, shifted.After)
+	if shifted.SkewBefore < 2 || shifted.SkewAfter > 0.7*shifted.SkewBefore {
+		t.Errorf("from %.2f to %.2f", shifted.SkewBefore, shifted.SkewAfter)
 	}
 }
 
@@ -152,8 +152,8 @@
 		empty[l] = make([]float64, usual.Experts)
 	}
 	for name, load := range map[string]rebalance.Load{"even": flat, "none": empty} {
-		if plan := planner(usual).Plan(dealt(usual), load); plan.Worth() {
-			t.Errorf("%s load: %d moves for %.3f", name, plan.Moves, plan.Saved())
+		if plan := planner(usual).Plan(dealt(usual), load); plan.Worthwhile() {
+			t.Errorf("%s load: %d moves for %.3f", name, plan.Copies, plan.Saving())
 		}
 	}
 }
@@ -161,8 +161,8 @@
 func TestSlowCopiesAreNotWorthAShortHorizon(t *testing.T) {
 	p := planner(usual)
 	p.Shape.CopyTime = 3 * time.Second
-	if plan := p.Plan(dealt(usual), zipf(usual, 1)); plan.Worth() {
-		t.Errorf("%d moves that take longer than the load is taken to last", plan.Moves)
+	if plan := p.Plan(dealt(usual), zipf(usual, 1)); plan.Worthwhile() {
+		t.Errorf("%d moves that take longer than the load is taken to last", plan.Copies)
 	}
 }
 
@@ -214,7 +214,7 @@
 	s := rebalance.Shape{Ranks: 2, Layers: 1, Experts: 2, Slots: 2, Staging: 1, CopyTime: 10 * time.Millisecond, ExpertShare: 1}
 	p := rebalance.Planner{Shape: s, Horizon: time.Second, MaxCopies: 1}
 	plan := p.Plan(rebalance.Map{{{0}, {1}}}, rebalance.Load{{9, 1}})
-	fmt.Println(plan.Map, plan.Worth())
+	fmt.Println(plan.Map, plan.Worthwhile())
 	// Output: [[[0 1] [0 1]]] true
 }
 
@@ -248,11 +248,11 @@
 		p.Slowdowns = slices.Repeat([]float64{tc.pace}, tc.slow)
 		p.MinSaving = 0.01
 		first := p.Plan(m, load)
-		before, after := first.Before, first.After
+		before, after := first.SkewBefore, first.SkewAfter
 		m = first.Map
 		for range 8 {
 			plan := p.Plan(m, load)
-			m, after = plan.Map, plan.After
+			m, after = plan.Map, plan.SkewAfter
 		}
 		if before < 0.75*tc.pace || after > 1.35 {
 			t.Errorf("%s: uneven by %.2f before and %.2f after", tc.name, before, after)
@@ -260,7 +260,7 @@
 		p.Slowdowns = nil
 		for range 8 {
 			plan := p.Plan(m, load)
-			m, after = plan.Map, plan.After
+			m, after = plan.Map, plan.SkewAfter
 		}
 		if after > 1.35 {
 			t.Errorf("%s: at the usual pace again uneven by %.2f", tc.name, after)
@@ -273,14 +273,14 @@
 	p.MaxCopies, p.MinSaving = 4, 0.01
 	m, load := dealt(usual), zipf(usual, 5)
 	first := p.Plan(m, load)
-	if first.Before < 2 || first.Copying != usual.CopyTime || first.After > first.Before*2/3 {
-		t.Errorf("uneven by %.2f, then %.2f after copying for %v", first.Before, first.After, first.Copying)
+	if first.SkewBefore < 2 || first.CopyTime != usual.CopyTime || first.SkewAfter > first.SkewBefore*2/3 {
+		t.Errorf("uneven by %.2f, then %.2f after copying for %v", first.SkewBefore, first.SkewAfter, first.CopyTime)
 	}
 	for range 9 {
 		plan := p.Plan(m, load)
-		if plan.Before <= 2 {
-			if plan.Moves > 0 && plan.Copying <= usual.CopyTime {
-				t.Errorf("uneven by %.2f, and copying for %v only", plan.Before, plan.Copying)
+		if plan.SkewBefore <= 2 {
+			if plan.Copies > 0 && plan.CopyTime <= usual.CopyTime {
+				t.Errorf("uneven by %.2f, and copying for %v only", plan.SkewBefore, plan.CopyTime)
 			}
 			return
 		}
--- a/experts/rebalance/skewbound_test.go
+++ b/experts/rebalance/skewbound_test.go
@@ -39,7 +39,7 @@
 		for range 30 {
 			m = p.Plan(m, load).Map
 		}
-		if reached, bound := p.Plan(m, load).Before, rebalance.SkewLowerBound(usual, load); reached < bound-1e-9 {
+		if reached, bound := p.Plan(m, load).SkewBefore, rebalance.SkewLowerBound(usual, load); reached < bound-1e-9 {
 			t.Errorf("seed %d: reached %v, under the bound %v", seed, reached, bound)
 		}
 	}
--- a/node/rank/planning.go
+++ b/node/rank/planning.go
@@ -76,15 +76,15 @@
 		Overhead: d.overhead,
 	}
 	plan := p.Plan(rebalance.Map(current), load)
-	d.agent.common.Metrics.Set(telemetry.StepSkew, d.group, plan.Before)
-	if !plan.Worth() {
+	d.agent.common.Metrics.Set(telemetry.StepSkew, d.group, plan.SkewBefore)
+	if !plan.Worthwhile() {
 		return
 	}
-	if !d.coord.Propose(now, orders.Placement(plan.Map), plan.Copying) {
+	if !d.coord.Propose(now, orders.Placement(plan.Map), plan.CopyTime) {
 		return
 	}
-	d.agent.common.Metrics.Count(telemetry.MovedExperts, d.group, plan.Moves)
+	d.agent.common.Metrics.Count(telemetry.MovedExperts, d.group, plan.Copies)
 	rows, _ := orders.Placement(plan.Map).Diff(current)
-	d.rows, d.copying = len(rows), plan.Copying
-	d.log("map proposed", "skew", plan.Before, "expected", plan.After, "moves", plan.Moves, "copying", plan.Copying)
+	d.rows, d.copying = len(rows), plan.CopyTime
+	d.log("map proposed", "skew", plan.SkewBefore, "expected", plan.SkewAfter, "moves", plan.Copies, "copying", plan.CopyTime)
 }
