--- a/experts/rebalance/estimate.go
+++ b/experts/rebalance/estimate.go
@@ -53,9 +53,9 @@
 	return load
 }
 
-// Settled reports that the last report was no jump in any layer, so that the shares
+// Stable reports that the last report was no jump in any layer, so that the shares
 // are not a mixture of before and after a shift.
-func (e *Estimate) Settled() bool {
+func (e *Estimate) Stable() bool {
 	for _, l := range e.layers {
 		if !l.calm {
 			return false
--- a/experts/rebalance/planner_test.go
+++ b/experts/rebalance/planner_test.go
@@ -182,14 +182,14 @@
 	for range 30 {
 		e.Add(noisy(before))
 	}
-	if !e.Settled() {
+	if !e.Stable() {
 		t.Error("noise is taken for a shift")
 	}
 	if d := apart(e.Load()[0], before[0]); d > 0.08 {
 		t.Errorf("%.3f away from a steady load", d)
 	}
 	e.Add(noisy(after))
-	if e.Settled() {
+	if e.Stable() {
 		t.Error("a shift is taken for noise")
 	}
 	e.Add(noisy(after))
