--- a/experts/rebalance/planner.go
+++ b/experts/rebalance/planner.go
@@ -7,13 +7,13 @@
 
 // Shape is the size of a group's maps.
 type Shape struct {
-	Ranks   int           `json:"ranks"`
-	Layers  int           `json:"layers"`
-	Experts int           `json:"experts"` // of a layer
-	Slots  int           `json:"places"`  // experts of a layer that a rank holds at the most
-	Staging int           `json:"staging"` // experts of a layer that a rank copies in for one map
+	Ranks       int           `json:"ranks"`
+	Layers      int           `json:"layers"`
+	Experts     int           `json:"experts"` // of a layer
+	Slots       int           `json:"places"`  // experts of a layer that a rank holds at the most
+	Staging     int           `json:"staging"` // experts of a layer that a rank copies in for one map
 	CopyTime    time.Duration `json:"copy"`    // of one expert
-	ExpertShare   float64       `json:"share"`   // of a step's work that goes to experts
+	ExpertShare float64       `json:"share"`   // of a step's work that goes to experts
 }
 
 // Load is tokens by layer and expert.
@@ -58,12 +58,12 @@
 
 // Plan is a map and what is expected of it.
 type Plan struct {
-	Map           Map
+	Map                   Map
 	SkewBefore, SkewAfter float64       // load of the hottest ranks over that of even ranks
-	CopyTime       time.Duration // until all ranks are ready
-	Copies         int           // copies over all ranks
-	saved         float64       // of the horizon
-	least         float64
+	CopyTime              time.Duration // until all ranks are ready
+	Copies                int           // copies over all ranks
+	saved                 float64       // of the horizon
+	least                 float64
 }
 
 // Worthwhile reports whether to go over to the plan's map.
@@ -114,7 +114,9 @@
 }
 
 // stepTime is the time of a step relative to one with even ranks.
-func (p Planner) stepTime(skew float64) float64 { return 1 - p.Shape.ExpertShare + p.Shape.ExpertShare*skew }
+func (p Planner) stepTime(skew float64) float64 {
+	return 1 - p.Shape.ExpertShare + p.Shape.ExpertShare*skew
+}
 
 // step is a change of one layer.
 type step struct {
--- a/mapswitch/orders/attempt.go
+++ b/mapswitch/orders/attempt.go
@@ -45,12 +45,12 @@
 
 // Outcome reports how an attempt went.
 type Outcome struct {
-	Version  Version
+	Version     Version
 	Reason      EndReason
-	Rank     int           // that caused it; -1 if none did
-	StartedAt    time.Time     // the attempt
-	HeldFrom time.Time     // the hold was in place; zero if it was not
-	PrepareTime  time.Duration // until all ranks had prepared
+	Rank        int           // that caused it; -1 if none did
+	StartedAt   time.Time     // the attempt
+	HeldFrom    time.Time     // the hold was in place; zero if it was not
+	PrepareTime time.Duration // until all ranks had prepared
 }
 
 func (c *Coordinator) begin(now time.Time, p phase) {
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -43,7 +43,7 @@
 	members map[int]mesh.Member // of the own group, by rank
 	epoch   orders.Epoch        // of the members
 	shape   *rebalance.Shape
-	helpers *telling.Helpers   // processes that hand orders on
+	helpers *telling.Helpers // processes that hand orders on
 	turn    *orders.Election // whether this rank is to coordinate
 	picks   *telling.Picks
 	maps    *telling.Placements
