--- a/mapswitch/orders/attempt.go
+++ b/mapswitch/orders/attempt.go
@@ -2,161 +2,167 @@
 
 import "time"
 
-// prepareWithin bounds the wait for copies beside what they are worked out to
-// take: orders that are lost are given again within it.
-const prepareWithin = 3 * time.Second
+// prepareGrace is the time that ranks have to prepare a map in addition to the expected
+// times of copying and distribution: lost orders are sent again within it.
+const prepareGrace = 3 * time.Second
 
-// phase is where an attempt stands.
+// phase is the state of an attempt.
 type phase int
 
 const (
-	idle      phase = iota // no attempt
-	preparing              // ranks copy
-	yielding               // the own rank is asked to let a later hold go
-	holding                // the own rank is asked to hold
-	arming                 // held; ranks are asked to arm
-	clearing               // held; ranks are asked to disarm and to prepare a version that voids
-	releasing              // the hold is let go
+	idle      phase = iota // no attempt is under way
+	preparing              // ranks copy the experts of the proposed map
+	yielding               // the own rank is requested to release a later hold
+	holding                // the own rank is requested to hold a step
+	arming                 // under the hold, ranks are requested to arm
+	clearing               // under the hold, ranks are requested to disarm and to prepare a version that voids earlier orders
+	releasing              // ranks are requested to release their holds
 )
 
-// String gives the name of the phase.
+// String returns the name of the phase.
 func (p phase) String() string {
 	return [...]string{"idle", "preparing", "yielding", "holding", "arming", "clearing", "releasing"}[p]
 }
 
-// EndReason is how an attempt ended.
+// EndReason states why an attempt ended.
 type EndReason string
 
-// The ends of an attempt.
+// The reasons for the end of an attempt.
 const (
 	// Committed: all ranks use the map from the step on.
 	Committed EndReason = "committed"
 	// NotPrepared: a rank refused to copy, or took too long.
 	NotPrepared EndReason = "not_prepared"
-	// NotHeld: the own rank did not hold.
+	// NotHeld: the own rank refused the hold.
 	NotHeld EndReason = "not_held"
 	// NotArmed: a rank refused to arm, and all others were disarmed.
 	NotArmed EndReason = "not_armed"
-	// Overruled: another coordinator is at work.
+	// Overruled: a rank has received a higher fence, from another coordinator.
 	Overruled EndReason = "overruled"
 	// Regrouped: the group was formed anew.
 	Regrouped EndReason = "regrouped"
 )
 
-// Outcome reports how an attempt went.
+// Outcome describes an attempt.
 type Outcome struct {
-	Version     Version
-	Reason      EndReason
-	Rank        int           // that caused it; -1 if none did
-	StartedAt   time.Time     // the attempt
-	HeldFrom    time.Time     // the hold was in place; zero if it was not
-	PrepareTime time.Duration // until all ranks had prepared
+	Version Version
+	Reason  EndReason
+	// Rank is the rank that made the attempt fail; -1 if none did.
+	Rank      int
+	StartedAt time.Time
+	// HeldFrom is the time from which the own rank held the step; zero if it never did.
+	HeldFrom time.Time
+	// PrepareTime is the time from the start until all ranks had prepared the map.
+	PrepareTime time.Duration
 }
 
-func (c *Coordinator) begin(now time.Time, p phase) {
-	c.phase, c.entered = p, now
-	c.fenceNow = c.given.fence()
+func (c *Coordinator) beginAttempt(now time.Time, p phase) {
+	c.phase, c.phaseSince = p, now
+	c.fence = c.numbers.fence()
 	c.attempt = Outcome{Rank: -1, StartedAt: now}
 }
 
-// took notes that a rank took its order. A rank that has disarmed is then asked to
-// prepare.
-func (c *Coordinator) took(r int) {
+// handleDone records that a rank carried out its order. A rank that has disarmed is then
+// requested to prepare a voiding version.
+func (c *Coordinator) handleDone(r int) {
 	k := &c.ranks[r]
-	if _, disarmed := k.job.order.(Disarm); disarmed && c.phase == clearing {
+	if _, disarmed := k.delivery.order.(Disarm); disarmed && c.phase == clearing {
 		k.state.Armed = nil
-		c.voidRank(r)
+		c.assignVoiding(r)
 		return
 	}
-	k.job.done = true
+	k.delivery.done = true
 }
 
-// done reports that all jobs of the phase are.
-func (c *Coordinator) done() bool {
+// allDelivered reports whether all deliveries of the phase are done.
+func (c *Coordinator) allDelivered() bool {
 	for _, r := range c.ranks {
-		if !r.job.done {
+		if !r.delivery.done {
 			return false
 		}
 	}
 	return true
 }
 
-// advance goes on to the next phase when the present one is over.
+// advance enters the next phase if the current one is complete.
 func (c *Coordinator) advance(now time.Time) {
 	switch c.phase {
 	case idle:
-		c.settleOrphan(now)
+		c.recoverOrphan(now)
 	case preparing:
-		c.prepared(now)
+		c.advancePreparing(now)
 	case yielding:
-		if c.done() {
-			c.enter(now, holding)
-			c.askSelf(Hold{Step: c.step})
+		if c.allDelivered() {
+			c.enterPhase(now, holding)
+			c.assignSelf(Hold{Step: c.holdStep})
 		}
 	case holding:
-		if c.done() {
-			c.held(now)
+		if c.allDelivered() {
+			c.advanceHolding(now)
 		}
 	case arming:
-		if c.done() {
+		if c.allDelivered() {
 			c.attempt.Reason = Committed
-			c.release(now)
+			c.startReleasing(now)
 		}
 	case clearing:
-		if c.done() {
-			c.release(now)
+		if c.allDelivered() {
+			c.startReleasing(now)
 		}
 	case releasing:
-		c.released(now)
+		c.advanceReleasing(now)
 	}
 }
 
-func (c *Coordinator) enter(now time.Time, p phase) { c.phase, c.entered = p, now }
+func (c *Coordinator) enterPhase(now time.Time, p phase) { c.phase, c.phaseSince = p, now }
 
-// prepared holds once all ranks have the map ready and can be reached.
-func (c *Coordinator) prepared(now time.Time) {
+// advancePreparing starts the hold once all ranks have prepared the map and their states
+// are fresh, and ends the attempt if that takes too long.
+func (c *Coordinator) advancePreparing(now time.Time) {
 	for r := range c.ranks {
-		if !c.hasCopied(r) || !c.seen(now, r) {
-			if now.Sub(c.entered) > (c.copying+c.telling)*2+prepareWithin {
+		if !c.hasPrepared(r) || !c.isFresh(now, r) {
+			if now.Sub(c.phaseSince) > (c.copyTime+c.distributionTime)*2+prepareGrace {
 				c.attempt.Rank = r
-				c.end(NotPrepared)
+				c.endAttempt(NotPrepared)
 			}
 			return
 		}
 	}
 	c.attempt.PrepareTime = now.Sub(c.attempt.StartedAt)
-	c.hold(now)
+	c.startHolding(now)
 }
 
-// hold asks the own rank to hold a step that was never held before: a late release
-// of an earlier hold must not let it go.
-func (c *Coordinator) hold(now time.Time) {
-	c.enter(now, holding)
-	c.step = max(c.farthest()+c.cadence.lead(now, c.copies()), c.lastHeld+1)
-	c.askSelf(Hold{Step: c.step})
+// startHolding requests the own rank to hold a step that was never held before, so that a
+// late release of an earlier hold does not release this one.
+func (c *Coordinator) startHolding(now time.Time) {
+	c.enterPhase(now, holding)
+	c.holdStep = max(c.highestStep()+c.steps.lead(now, c.redundancy()), c.lastHeldStep+1)
+	c.assignSelf(Hold{Step: c.holdStep})
 }
 
-// held goes on once the own rank holds.
-func (c *Coordinator) held(now time.Time) {
+// advanceHolding requests all ranks to arm, now that the own rank holds the step. An
+// attempt that recovers an orphaned hold aborts instead.
+func (c *Coordinator) advanceHolding(now time.Time) {
 	c.attempt.HeldFrom = now
-	c.lastHeld = max(c.lastHeld, c.step)
-	if c.adopting {
-		c.callOff(now)
+	c.lastHeldStep = max(c.lastHeldStep, c.holdStep)
+	if c.recovering {
+		c.abort(now)
 		return
 	}
-	c.enter(now, arming)
-	c.ask(func(int) Order { return Arm{Version: c.attempt.Version, Step: c.step} })
+	c.enterPhase(now, arming)
+	c.assign(func(int) Order { return Arm{Version: c.attempt.Version, Step: c.holdStep} })
 }
 
-// release lets the hold go, and with it what others left behind.
-func (c *Coordinator) release(now time.Time) {
-	c.enter(now, releasing)
-	c.ask(func(r int) Order {
+// startReleasing requests the own rank to release its hold and, in an attempt that
+// recovers an orphaned hold, all other ranks to release theirs.
+func (c *Coordinator) startReleasing(now time.Time) {
+	c.enterPhase(now, releasing)
+	c.assign(func(r int) Order {
 		h := c.ranks[r].state.Held
 		switch {
 		case r == c.self:
-			return Release{Step: c.step}
-		case c.adopting && h != nil:
+			return Release{Step: c.holdStep}
+		case c.recovering && h != nil:
 			return Release{Step: *h}
 		default:
 			return nil
@@ -164,57 +170,58 @@
 	})
 }
 
-// released ends the attempt once the own rank is seen to hold no more.
-func (c *Coordinator) released(now time.Time) {
+// advanceReleasing ends the attempt once the own rank reports that it no longer holds the
+// step.
+func (c *Coordinator) advanceReleasing(now time.Time) {
 	s := c.ranks[c.self].state
-	if !c.done() || s.Held != nil && *s.Held == c.step {
-		if c.done() && now.Sub(c.entered) > ResendAfter {
-			c.release(now) // it was let go before the hold came, which was late
+	if !c.allDelivered() || s.Held != nil && *s.Held == c.holdStep {
+		if c.allDelivered() && now.Sub(c.phaseSince) > ResendAfter {
+			c.startReleasing(now) // a late Hold arrived after the Release
 		}
 		return
 	}
-	if c.attempt.Reason == Committed && c.goal != nil {
-		c.current = c.goal
+	if c.attempt.Reason == Committed && c.proposed != nil {
+		c.current = c.proposed
 	}
-	c.end(c.attempt.Reason)
+	c.endAttempt(c.attempt.Reason)
 }
 
-func (c *Coordinator) end(e EndReason) {
-	c.attempt.Reason = e
-	c.ended = append(c.ended, c.attempt)
+func (c *Coordinator) endAttempt(reason EndReason) {
+	c.attempt.Reason = reason
+	c.outcomes = append(c.outcomes, c.attempt)
 	c.phase = idle
-	c.goal = nil
-	c.adopting = false
+	c.proposed = nil
+	c.recovering = false
 	for r := range c.ranks {
 		k := &c.ranks[r]
-		k.known, k.orphan, k.refusals = false, time.Time{}, 0 // to be read again before another attempt
+		k.read, k.orphanSince, k.refusals = false, time.Time{}, 0 // ranks are read again before another attempt
 	}
 }
 
-// refused: what that means depends on the phase. Before the hold nothing has
-// happened; after it the attempt is called off under the hold.
-func (c *Coordinator) refused(now time.Time, r int) {
+// handleRefused processes the refusal of an order. Before the hold no rank has changed
+// anything, and the attempt ends; under the hold the attempt is aborted.
+func (c *Coordinator) handleRefused(now time.Time, r int) {
 	c.attempt.Rank = r
 	switch c.phase {
 	case preparing:
-		c.end(NotPrepared)
+		c.endAttempt(NotPrepared)
 	case yielding:
-		c.ranks[r].job.done = true // it holds for nobody
+		c.ranks[r].delivery.done = true // the rank has no such hold
 	case holding:
-		c.end(NotHeld)
+		c.endAttempt(NotHeld)
 	case arming:
-		c.callOff(now)
+		c.abort(now)
 	case clearing:
-		c.clearRefused(r)
+		c.handleClearingRefused(r)
 	case releasing:
-		c.ranks[r].job.done = true // it holds for nobody
+		c.ranks[r].delivery.done = true // the rank has no such hold
 	}
 }
 
-// outranked: another coordinator has taken over. This one stands down; if its hold
-// is left behind, it is found as one that nobody wants.
-func (c *Coordinator) outranked(r int) {
-	c.given.outranked()
+// handleOutranked ends the attempt, since another coordinator has taken over. If the
+// attempt's hold remains, a coordinator finds it as an orphan.
+func (c *Coordinator) handleOutranked(r int) {
+	c.numbers.raiseFence()
 	c.attempt.Rank = r
-	c.end(Overruled)
+	c.endAttempt(Overruled)
 }
--- a/mapswitch/orders/coordinator.go
+++ b/mapswitch/orders/coordinator.go
@@ -2,84 +2,95 @@
 
 import "time"
 
-// Times of a Coordinator.
 const (
-	// ResendAfter is how long an order may stay unanswered before it is given again:
-	// several times the way between data halls of a region and back.
+	// ResendAfter is the least time without a response after which an order is sent
+	// again: several round trips between data halls of a region.
 	ResendAfter = 20 * time.Millisecond
-	// resendMost bounds the same for an order that was given resendSoon times: its rank
-	// is out of reach rather than the order lost.
-	resendMost = 160 * time.Millisecond
-	resendSoon = 4
+	// maxResendDelay bounds that time as it doubles after resendsBeforeBackoff sends: a
+	// rank that has not responded by then is unreachable rather than the orders lost.
+	maxResendDelay       = 160 * time.Millisecond
+	resendsBeforeBackoff = 4
 )
 
-// job is one order to one rank, given until it is answered.
-type job struct {
+// delivery is one order to one rank, sent until the rank responds.
+type delivery struct {
 	id     uint64
 	order  Order
 	done   bool
-	sentAt time.Time // zero before the first time
-	tries  int       // times that it was given
+	sentAt time.Time // zero before the first send
+	sends  int
 }
 
-// rank is what is known of one rank.
+// rank is the coordinator's record of one rank.
 type rank struct {
-	state  State
-	known  bool
-	seenAt time.Time // when it was read last
-	orphan time.Time // since when it is seen to hold for no attempt of this coordinator
-	job    job
-	// refusals counts the versions that were to void and were refused.
+	state State
+	// read reports whether the state was read since the last attempt ended.
+	read   bool
+	readAt time.Time
+	// orphanSince is when the rank was first seen to hold a step that no attempt of this
+	// coordinator requested; zero if it holds none.
+	orphanSince time.Time
+	delivery    delivery
+	// refusals counts the refused Prepare orders that were to void earlier versions.
 	refusals int
 }
 
 // Coordinator changes the maps of one group in one epoch. It is not safe for
 // concurrent use.
 type Coordinator struct {
-	self  int
-	epoch Epoch
-	given *NumberGenerator
-	ranks []rank
-
-	phase    phase
-	entered  time.Time // the phase
-	attempt  Outcome
-	fenceNow Fence
-	goal     Placement
-	current  Placement     // nil until it is known
-	step     Step          // that is held
-	copying  time.Duration // that the goal is worked out to take
-	jobs     uint64
-	floor    Version // the highest version that was ever asked for
-	lastHeld Step
-	adopting bool          // the attempt settles what another left behind
-	loss     float64       // share of orders that are not answered in time
-	telling  time.Duration // that a map takes to reach all ranks
-	reach    time.Duration // that a read of all ranks takes
-	answers  answerTimes
-	cadence  cadence
-	ended    []Outcome
+	self    int
+	epoch   Epoch
+	numbers *NumberGenerator
+	ranks   []rank
+
+	phase      phase
+	phaseSince time.Time
+	attempt    Outcome
+	fence      Fence
+	proposed   Placement
+	// current is the map in use; nil until it has been read.
+	current Placement
+	// holdStep is the step that the attempt holds or is about to hold.
+	holdStep Step
+	// copyTime is the expected time to copy the experts of the proposed map.
+	copyTime     time.Duration
+	lastDelivery uint64
+	// highestRequested is the highest version that any coordinator is known to have
+	// requested in this epoch.
+	highestRequested Version
+	lastHeldStep     Step
+	// recovering reports whether the attempt aborts one whose hold was orphaned.
+	recovering bool
+	// loss is the share of orders that get no response in time.
+	loss float64
+	// distributionTime is the time to send a map to all ranks.
+	distributionTime time.Duration
+	// readTime is the time of the slowest reply of a round of reads.
+	readTime  time.Duration
+	responses responseTimes
+	steps     stepTimes
+	outcomes  []Outcome
 }
 
-// NewCoordinator returns the coordinator beside the rank self. given are the numbers of its
-// process, the same for all its coordinators.
-func NewCoordinator(self, ranks int, e Epoch, given *NumberGenerator) *Coordinator {
-	return &Coordinator{self: self, epoch: e, given: given, ranks: make([]rank, ranks)}
+// NewCoordinator returns the coordinator beside the rank self. All coordinators of a
+// process share one generator of numbers.
+func NewCoordinator(self, ranks int, e Epoch, numbers *NumberGenerator) *Coordinator {
+	return &Coordinator{self: self, epoch: e, numbers: numbers, ranks: make([]rank, ranks)}
 }
 
-// Epoch is the formation of the group that this coordinator is for.
+// Epoch returns the epoch of the group that the coordinator was created for.
 func (c *Coordinator) Epoch() Epoch { return c.epoch }
 
-// Idle reports that no attempt is under way.
+// Idle reports whether no attempt is under way.
 func (c *Coordinator) Idle() bool { return c.phase == idle }
 
-// Phase names where the attempt stands, for logs.
+// Phase returns the name of the attempt's phase, for logs.
 func (c *Coordinator) Phase() string { return c.phase.String() }
 
-// Holding reports that this coordinator has its rank hold a step.
+// Holding reports whether the coordinator has requested its own rank to hold a step.
 func (c *Coordinator) Holding() bool { return c.phase >= holding }
 
-// Current is the map in use, as far as it is known.
+// Current returns the map in use; false if it has not been read yet.
 func (c *Coordinator) Current() (Placement, bool) { return c.current, c.current != nil }
 
 // SetCurrent sets the map in use, as read from all ranks at the same version.
@@ -89,50 +100,50 @@
 	}
 }
 
-// SetDistributionTime sets how long a map takes to reach all ranks, beside what any order
-// takes: maps of large groups fill a narrow link for a while.
-func (c *Coordinator) SetDistributionTime(d time.Duration) { c.telling = d }
+// SetDistributionTime sets how long sending a map to all ranks takes, in addition to the
+// time of any order: maps of large groups fill a narrow link for a while.
+func (c *Coordinator) SetDistributionTime(d time.Duration) { c.distributionTime = d }
 
-// SetReadTime sets how long the slowest of a round of reads takes. Where that is longer than
-// seenWithin, as through relays in a group of a hundred ranks, the news of all ranks is
-// never so fresh at once, and no map would ever change.
-func (c *Coordinator) SetReadTime(d time.Duration) { c.reach = d }
+// SetReadTime sets the time of the slowest reply of a round of reads. Where it exceeds
+// freshFor, as through relays in a group of a hundred ranks, the states of all ranks are
+// never that fresh at the same time, and without this time no map would ever change.
+func (c *Coordinator) SetReadTime(d time.Duration) { c.readTime = d }
 
-// TakeOutcomes returns the attempts that ended since the last call.
+// TakeOutcomes returns the outcomes of the attempts that ended since the last call.
 func (c *Coordinator) TakeOutcomes() []Outcome {
-	list := c.ended
-	c.ended = nil
+	list := c.outcomes
+	c.outcomes = nil
 	return list
 }
 
-// Propose starts an attempt to go over to the map, which takes so long to copy. It
-// is false if one is under way or something is left to settle first.
-func (c *Coordinator) Propose(now time.Time, p Placement, copying time.Duration) bool {
+// Propose starts an attempt to change to the map p, whose experts are expected to be
+// copied within copyTime. It returns false if CanPropose does.
+func (c *Coordinator) Propose(now time.Time, p Placement, copyTime time.Duration) bool {
 	if !c.CanPropose() {
 		return false
 	}
-	c.begin(now, preparing)
-	c.goal, c.copying = p, copying
+	c.beginAttempt(now, preparing)
+	c.proposed, c.copyTime = p, copyTime
 	c.attempt.Version = c.newVersion()
-	c.ask(func(int) Order { return Prepare{Version: c.attempt.Version, Map: p} })
+	c.assign(func(int) Order { return Prepare{Version: c.attempt.Version, Map: p} })
 	return true
 }
 
-// newVersion gives a version that was never asked for in this epoch, by whomever. A version
-// that stood for two maps would let ranks take different ones.
+// newVersion returns a version that no coordinator has requested in this epoch. With a
+// version that stood for two maps, ranks could switch to different ones.
 func (c *Coordinator) newVersion() Version {
-	c.floor = c.given.version(c.floor, c.self, len(c.ranks))
-	return c.floor
+	c.highestRequested = c.numbers.version(c.highestRequested, c.self, len(c.ranks))
+	return c.highestRequested
 }
 
-// CanPropose reports that an attempt can be begun: none is under way, and every rank is known,
-// steps, and has nothing armed or held.
+// CanPropose reports whether an attempt can be started: none is under way, and every rank
+// has been read, runs steps, and has nothing armed or held.
 func (c *Coordinator) CanPropose() bool {
 	if c.phase != idle {
 		return false
 	}
 	for _, r := range c.ranks {
-		if !r.known || !r.state.Open || r.state.Armed != nil || r.state.Held != nil {
+		if !r.read || !r.state.Open || r.state.Armed != nil || r.state.Held != nil {
 			return false
 		}
 	}
--- a/mapswitch/orders/numbergenerator.go
+++ b/mapswitch/orders/numbergenerator.go
@@ -1,48 +1,53 @@
 package orders
 
-// NumberGenerator gives the fences and versions of one process. They need no clock: boxes' clocks
-// are set back and forth, also while a process is away, and a process that started again
-// behind its own past would give numbers anew that stand for other maps.
+// NumberGenerator generates the fences and versions of one process. It uses no clock: the
+// clocks of boxes are set back and forth, also while a process is not running, and a
+// process that restarted with its clock behind would generate numbers again that stand for
+// other maps.
 //
-// A version is above all that any rank of the group is seen to have, and differs from
+// A version is higher than all that the ranks of the group have reported, and differs from
 // those of every other process by the rank and by a salt, drawn at the start: orders of a
-// process that is gone may still be on their way. A fence is above this process's own and,
-// as soon as a rank reports that it has seen a higher one, above that within a few attempts.
+// process that has ended may still be in transit. A fence is higher than all earlier ones
+// of this process and, as soon as a rank reports that it has received a higher one, exceeds
+// that within a few attempts.
 type NumberGenerator struct {
-	salt Version
-	last Fence
+	salt      Version
+	lastFence Fence
 }
 
 const (
-	// saltBits is the length of the salt: two processes at one rank get the same one once
-	// in 65,536 restarts, and even then their versions differ unless their turns do not.
+	// saltBits is the length of the salt: two processes at one rank get the same salt once
+	// in 65,536 restarts, and even then their versions differ unless their sequence numbers
+	// are equal.
 	saltBits = 16
-	// raiseTimes and raiseBy put a fence above those that ranks have seen: after three
-	// attempts above four million of them.
-	raiseTimes, raiseBy = 16, 1000
-	// fenceMost bounds how far fences are raised: a version made of one has 53 bits for
-	// groups of up to 512 ranks, which any reader of JSON keeps.
-	fenceMost Fence = 1 << 28
+	// fenceRaiseFactor and fenceRaiseStep raise the fence above those that ranks have
+	// received: three attempts exceed four million of them.
+	fenceRaiseFactor, fenceRaiseStep = 16, 1000
+	// maxRaisedFence bounds how far the fence is raised: a version derived from a fence
+	// below it fits into 53 bits for groups of up to 512 ranks, which any reader of JSON
+	// reads exactly.
+	maxRaisedFence Fence = 1 << 28
 )
 
-// NewNumberGenerator returns the numbers of a process that has given none.
+// NewNumberGenerator returns the generator of a process that has not generated any numbers.
 func NewNumberGenerator(salt uint16) *NumberGenerator { return &NumberGenerator{salt: Version(salt)} }
 
-// fence is higher each time.
+// fence returns a fence higher than all before.
 func (n *NumberGenerator) fence() Fence {
-	n.last++
-	return n.last
+	n.lastFence++
+	return n.lastFence
 }
 
-// outranked: a rank has seen a higher fence.
-func (n *NumberGenerator) outranked() {
-	if n.last < fenceMost/raiseTimes {
-		n.last = n.last*raiseTimes + raiseBy
+// raiseFence raises the next fence, after a rank reported that it received a higher one.
+func (n *NumberGenerator) raiseFence() {
+	if n.lastFence < maxRaisedFence/fenceRaiseFactor {
+		n.lastFence = n.lastFence*fenceRaiseFactor + fenceRaiseStep
 	}
 }
 
-// version gives a version above the floor for the rank's coordinator in a group of so many.
-func (n *NumberGenerator) version(floor Version, rank, ranks int) Version {
-	turn := max(Version(n.fence()), floor/Version(ranks)>>saltBits+1)
-	return (turn<<saltBits|n.salt)*Version(ranks) + Version(rank)
+// version returns a version higher than highest for the coordinator at the rank, in a group
+// of the given number of ranks.
+func (n *NumberGenerator) version(highest Version, rank, ranks int) Version {
+	sequence := max(Version(n.fence()), highest/Version(ranks)>>saltBits+1)
+	return (sequence<<saltBits|n.salt)*Version(ranks) + Version(rank)
 }
--- a/mapswitch/orders/observing.go
+++ b/mapswitch/orders/observing.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// How fresh the news of the ranks must be.
 const (
-	// seenWithin is how long ago each rank must have been read for the group to be held:
-	// one that was reached a moment ago can most likely be asked to arm, too. A rank that
-	// stands still between the hold and its answer keeps the group held. One round of
-	// reads takes some ten milliseconds; where it takes longer (SetReadTime), two of them.
-	seenWithin = 50 * time.Millisecond
-	// seenMost bounds that. A rank whose box stands still from when it was asked to copy
-	// must not count as seen once the others have copied: it would keep its group held for as long
-	// as it stands still.
-	seenMost = 150 * time.Millisecond
+	// freshFor is how long a read state is fresh. A group is held only while the states
+	// of all ranks are: a rank that was reached a moment ago most likely receives the Arm,
+	// too, whereas a rank that stalls between the hold and its response keeps the group
+	// held. One round of reads takes some ten milliseconds; where it takes longer
+	// (SetReadTime), states are fresh for two rounds.
+	freshFor = 50 * time.Millisecond
+	// maxFreshFor bounds that. A rank whose box stalls after it was requested to copy must
+	// not count as fresh when the others have copied: it would keep its group held until
+	// the box resumes.
+	maxFreshFor = 150 * time.Millisecond
 )
 
-// Observe takes the state of a rank, read just now. It is false if the rank is in
-// another epoch, so that this coordinator is of no more use.
+// Observe processes the state of a rank, read just now. It returns false if the rank is in
+// another epoch, in which the coordinator is of no use.
 func (c *Coordinator) Observe(now time.Time, r int, s State) bool {
 	if s.Epoch != c.epoch {
 		return false
 	}
 	k := &c.ranks[r]
-	k.state, k.known, k.seenAt = s, true, now
-	c.cadence.saw(now, s.Step)
+	k.state, k.read, k.readAt = s, true, now
+	c.steps.observe(now, s.Step)
 	for _, v := range []Version{s.Map, s.Prepared, armedVersion(s)} {
-		c.floor = max(c.floor, v)
+		c.highestRequested = max(c.highestRequested, v)
 	}
-	c.watchHold(now, k)
+	c.trackOrphan(now, k)
 	return true
 }
 
@@ -38,12 +38,13 @@
 	return s.Armed.Version
 }
 
-// NeedsRead reports that the attempt goes on once the rank is seen to have taken a step:
-// to have copied, or to hold no more; or once it is read again.
+// NeedsRead reports whether the attempt waits for a read of the rank: until the rank
+// reports that it has prepared the map or no longer holds the step, or because its state
+// is not fresh.
 func (c *Coordinator) NeedsRead(now time.Time, r int) bool {
 	switch c.phase {
 	case preparing:
-		return !c.hasCopied(r) || c.AllPrepared() && !c.seen(now, r)
+		return !c.hasPrepared(r) || c.AllPrepared() && !c.isFresh(now, r)
 	case releasing:
 		return r == c.self
 	default:
@@ -51,27 +52,31 @@
 	}
 }
 
-// AllPrepared reports that all ranks have copied and the group is to be held as soon as all
-// have been read.
+// AllPrepared reports whether all ranks have prepared the map, so that the group is held
+// as soon as the states of all ranks are fresh.
 func (c *Coordinator) AllPrepared() bool {
 	if c.phase != preparing {
 		return false
 	}
 	for r := range c.ranks {
-		if !c.hasCopied(r) {
+		if !c.hasPrepared(r) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Coordinator) hasCopied(r int) bool { return c.ranks[r].state.Prepared == c.attempt.Version }
+func (c *Coordinator) hasPrepared(r int) bool {
+	return c.ranks[r].state.Prepared == c.attempt.Version
+}
 
-func (c *Coordinator) seen(now time.Time, r int) bool {
-	return now.Sub(c.ranks[r].seenAt) <= min(max(seenWithin, 2*c.reach), seenMost)
+// isFresh reports whether the rank was read recently enough for the group to be held.
+func (c *Coordinator) isFresh(now time.Time, r int) bool {
+	return now.Sub(c.ranks[r].readAt) <= min(max(freshFor, 2*c.readTime), maxFreshFor)
 }
 
-func (c *Coordinator) farthest() Step {
+// highestStep returns the highest step that a rank has reported.
+func (c *Coordinator) highestStep() Step {
 	var s Step
 	for _, r := range c.ranks {
 		s = max(s, r.state.Step)
--- a/mapswitch/orders/order.go
+++ b/mapswitch/orders/order.go
@@ -2,42 +2,43 @@
 
 import "fmt"
 
-// The numbers of a group.
+// Numbers in orders and in the states of ranks.
 type (
-	// Version numbers the maps of a rank. A rank takes none that is not above all
-	// that it had since its group was formed.
+	// Version numbers the maps of a group. A rank accepts a new version only if it is
+	// higher than every version that the rank has had since the group was formed.
 	Version uint64
 	// Step numbers the steps of a group.
 	Step uint64
-	// Epoch numbers the formations of a group. All else starts over with it.
+	// Epoch numbers the formations of a group. A new epoch resets all other state.
 	Epoch uint64
-	// Fence orders the attempts of coordinators, where engines check it.
+	// Fence numbers the attempts of coordinators. Engines that check fences accept no
+	// order with a fence lower than one received before.
 	Fence uint64
 )
 
 // Placement states which experts each rank holds: by layer, then by rank.
 type Placement [][][]int
 
-// Order is what an engine is asked to do. The set is closed: Prepare, Arm, Disarm,
-// Hold and Release.
+// Order is a request to the engine of one rank. The set of types is closed: Prepare,
+// Arm, Disarm, Hold and Release.
 type Order interface{ order() }
 
-// Prepare asks to copy in what the map needs.
+// Prepare requests to copy the experts that the map needs.
 type Prepare struct {
 	Version Version
 	Map     Placement
 }
 
-// Arm asks to use the prepared map as the step begins.
+// Arm requests to switch to the prepared map as the step begins.
 type Arm struct {
 	Version Version
 	Step    Step
 }
 
-// Disarm takes an Arm back.
+// Disarm cancels an Arm.
 type Disarm struct{ Version Version }
 
-// Hold asks that the group does not begin the step.
+// Hold requests that the group does not begin the step.
 type Hold struct{ Step Step }
 
 // Release ends a Hold of the same step.
@@ -49,7 +50,7 @@
 func (Hold) order()    {}
 func (Release) order() {}
 
-// Name is the name of an order in logs and counters.
+// Name returns the name of the order in logs and metrics.
 func Name(o Order) string {
 	switch o.(type) {
 	case Prepare:
@@ -67,8 +68,8 @@
 	}
 }
 
-// Describe names an order with its numbers: two orders of one description are the same
-// order for different ranks, since a version stands for one map.
+// Describe returns the name of the order with its version and step. Two orders with equal
+// descriptions are the same order to different ranks, since a version identifies one map.
 func Describe(o Order) string {
 	switch o := o.(type) {
 	case Prepare:
@@ -86,42 +87,47 @@
 	}
 }
 
-// Result is what became of an order.
+// Result is the outcome of an order to one rank.
 type Result int
 
 // The results.
 const (
-	// Done: it was taken, or already holds.
+	// Done: the order was carried out, or the rank was in the requested state already.
 	Done Result = iota + 1
-	// Refused: it does not fit the state of the rank, and was not taken.
+	// Refused: the order does not fit the state of the rank and was not carried out.
 	Refused
-	// Outranked: a higher fence has been seen; it was not taken.
+	// Outranked: the rank has received a higher fence and did not carry out the order.
 	Outranked
-	// Lost: no answer came; it may be carried out, now or later.
+	// Lost: no response arrived; the order may be carried out, now or later.
 	Lost
 )
 
-// String gives the name of the result.
+// String returns the name of the result.
 func (r Result) String() string {
 	return [...]string{"unknown", "done", "refused", "outranked", "lost"}[r]
 }
 
-// Armed is an armed map.
+// Armed is an armed map and the step from which it applies.
 type Armed struct {
 	Version Version `json:"version"`
 	Step    Step    `json:"step"`
 }
 
-// State is what a rank reports about itself. It must have been read from the rank itself
-// just now, not from a copy.
+// State is the state that a rank reports. It must have been read from the rank itself
+// just now, not from a cache.
 type State struct {
-	Epoch    Epoch   `json:"epoch"`
-	Open     bool    `json:"open"` // the group steps
-	Step     Step    `json:"step"` // the last one begun
-	Map      Version `json:"map"`
-	Prepared Version `json:"prepared"` // 0 while none is ready
+	Epoch Epoch `json:"epoch"`
+	// Open reports whether the group runs steps.
+	Open bool `json:"open"`
+	// Step is the last step that has begun.
+	Step Step `json:"step"`
+	// Map is the version of the map in use.
+	Map Version `json:"map"`
+	// Prepared is the version of the map that is ready to be armed; 0 if none is.
+	Prepared Version `json:"prepared"`
 	Armed    *Armed  `json:"armed,omitempty"`
-	Held     *Step   `json:"held,omitempty"`
+	// Held is the step that the rank holds; nil if it holds none.
+	Held *Step `json:"held,omitempty"`
 }
 
 // Call is an order to one rank.
@@ -130,5 +136,6 @@
 	Epoch Epoch
 	Fence Fence
 	Order Order
-	id    uint64 // of the job that it belongs to
+	// deliveryID identifies the delivery that the call belongs to.
+	deliveryID uint64
 }
--- a/mapswitch/orders/orphan.go
+++ b/mapswitch/orders/orphan.go
@@ -2,60 +2,62 @@
 
 import "time"
 
-// Times of holds that another left behind.
+// A hold is orphaned if the rank holds a step for an attempt that no coordinator runs any
+// more.
 const (
-	// ownOrphanAfter is how long a hold at the own rank that no attempt of this
-	// coordinator asked for is left alone: it may belong to a process before this one
-	// while another rank's coordinator settles it already.
+	// ownOrphanAfter is how long the own rank must hold a step that no attempt of this
+	// coordinator requested before the hold counts as orphaned: it may be left from the
+	// previous process of this agent, and the coordinator of another rank may be
+	// recovering it already.
 	ownOrphanAfter = 400 * time.Millisecond
-	// orphanAfter is the same for a hold at another rank. Whoever coordinates has not
-	// heard that rank's coordinator for long.
+	// orphanAfter is the same time for a hold at another rank. It is shorter, since a rank
+	// only coordinates after it has long received no read from that rank's coordinator.
 	orphanAfter = 100 * time.Millisecond
 )
 
-// watchHold notes since when a rank holds for no attempt of this coordinator.
-func (c *Coordinator) watchHold(now time.Time, k *rank) {
+// trackOrphan records since when a rank holds a step that no attempt of this coordinator
+// requested.
+func (c *Coordinator) trackOrphan(now time.Time, k *rank) {
 	switch {
 	case k.state.Held == nil || c.phase >= holding:
-		k.orphan = time.Time{}
-	case k.orphan.IsZero():
-		k.orphan = now
+		k.orphanSince = time.Time{}
+	case k.orphanSince.IsZero():
+		k.orphanSince = now
 	}
 }
 
-// settleOrphan takes care of a hold that a lost process left behind: it calls off
-// whatever was under way. Before it changes anything it holds the same step at its
-// own rank, so that its report counts until the end whatever happens to the other hold.
-// It does not finish a switch that another began, since that other may still be at
-// work on it.
-func (c *Coordinator) settleOrphan(now time.Time) {
-	step, found := c.orphanStep(now)
-	if !found || !c.allKnown() || c.current == nil {
-		return // calling off needs a map that all ranks take
+// recoverOrphan aborts the attempt of a lost process if it left a hold behind. Before it
+// changes anything it holds the same step at its own rank, so that the group stays held
+// until the end of the abort, whatever becomes of the orphaned hold. It does not complete
+// the map change of the other process, which may still be running.
+func (c *Coordinator) recoverOrphan(now time.Time) {
+	step, found := c.lowestOrphan(now)
+	if !found || !c.allRead() || c.current == nil {
+		return // an abort needs a map that all ranks accept
 	}
-	c.begin(now, holding)
-	c.adopting, c.step = true, step
+	c.beginAttempt(now, holding)
+	c.recovering, c.holdStep = true, step
 	own := c.ranks[c.self].state.Held
 	switch {
 	case own != nil && *own < step:
-		c.step = *own
+		c.holdStep = *own
 	case own != nil && *own > step:
-		// One rank holds one step. The lower hold elsewhere keeps the group meanwhile.
-		c.enter(now, yielding)
-		c.askSelf(Release{Step: *own})
+		// A rank holds only one step. The lower hold elsewhere keeps the group held meanwhile.
+		c.enterPhase(now, yielding)
+		c.assignSelf(Release{Step: *own})
 		return
 	}
-	c.askSelf(Hold{Step: c.step})
+	c.assignSelf(Hold{Step: c.holdStep})
 }
 
-// orphanStep is the lowest step that a rank holds for nobody.
-func (c *Coordinator) orphanStep(now time.Time) (step Step, found bool) {
+// lowestOrphan returns the lowest step whose hold is orphaned.
+func (c *Coordinator) lowestOrphan(now time.Time) (step Step, found bool) {
 	for r, k := range c.ranks {
 		after := orphanAfter
 		if r == c.self {
 			after = ownOrphanAfter
 		}
-		if k.orphan.IsZero() || now.Sub(k.orphan) < after || k.state.Held == nil {
+		if k.orphanSince.IsZero() || now.Sub(k.orphanSince) < after || k.state.Held == nil {
 			continue
 		}
 		if !found || *k.state.Held < step {
@@ -65,9 +67,9 @@
 	return step, found
 }
 
-func (c *Coordinator) allKnown() bool {
+func (c *Coordinator) allRead() bool {
 	for _, r := range c.ranks {
-		if !r.known {
+		if !r.read {
 			return false
 		}
 	}
--- a/mapswitch/orders/sending.go
+++ b/mapswitch/orders/sending.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// How orders are given and given again until each rank has taken its own: the jobs of a
-// phase, their copies where many are lost, and the time to the next try. What the phases
-// are is in coordinator.go.
+// This file sends orders, and sends them again until each rank has responded: the
+// deliveries of a phase, the redundant sends on lossy links, and the time to the next
+// try. The phases are in attempt.go.
 
 const (
-	// lossWeight is the weight of one more order in the share that is lost.
+	// lossWeight is the weight of one more order in the share of lost orders.
 	lossWeight = 0.05
-	// mostCopies is how often an order is given at once when many are lost.
-	mostCopies = 3
-	// copyLoss is the share of lost orders for which one more copy is given: with it
-	// the group of eight ranks usually has all orders at the first try.
-	copyLoss = 0.08
+	// maxRedundancy bounds how many times an order is sent at once.
+	maxRedundancy = 3
+	// lossPerRedundantSend is the share of lost orders for which an order is sent once
+	// more: with that send, a group of eight ranks usually receives all orders at the
+	// first try.
+	lossPerRedundantSend = 0.08
 )
 
-// ask gives every rank a job; a nil order gives none.
-func (c *Coordinator) ask(order func(rank int) Order) {
-	c.jobs++
+// assign creates a delivery for every rank, except those for which order returns nil.
+func (c *Coordinator) assign(order func(rank int) Order) {
+	c.lastDelivery++
 	for r := range c.ranks {
 		o := order(r)
-		c.ranks[r].job = job{id: c.jobs, order: o, done: o == nil}
+		c.ranks[r].delivery = delivery{id: c.lastDelivery, order: o, done: o == nil}
 	}
 }
 
-// askSelf gives only the own rank a job.
-func (c *Coordinator) askSelf(o Order) {
-	c.ask(func(r int) Order {
+// assignSelf creates a delivery for the coordinator's own rank only.
+func (c *Coordinator) assignSelf(o Order) {
+	c.assign(func(r int) Order {
 		if r == c.self {
 			return o
 		}
@@ -35,39 +36,40 @@
 	})
 }
 
-// Next gives the orders to be given now. It is to be called after everything else,
-// and on every tick.
+// Next returns the orders to send now. It must be called after every call of another
+// method that changes the coordinator, and on every tick.
 func (c *Coordinator) Next(now time.Time) []Call {
 	c.advance(now)
 	var calls []Call
 	for r := range c.ranks {
-		j := &c.ranks[r].job
-		if c.phase == idle || j.done || !j.sentAt.IsZero() && now.Sub(j.sentAt) < c.resendAfter(j) {
+		d := &c.ranks[r].delivery
+		if c.phase == idle || d.done || !d.sentAt.IsZero() && now.Sub(d.sentAt) < c.resendDelay(d) {
 			continue
 		}
-		c.noteLoss(!j.sentAt.IsZero())
-		j.sentAt = now
-		j.tries++
-		for range c.copiesOf(j.order) {
-			calls = append(calls, Call{Rank: r, Epoch: c.epoch, Fence: c.fenceNow, Order: j.order, id: j.id})
+		c.recordLoss(!d.sentAt.IsZero())
+		d.sentAt = now
+		d.sends++
+		for range c.redundancyOf(d.order) {
+			calls = append(calls, Call{Rank: r, Epoch: c.epoch, Fence: c.fence, Order: d.order, deliveryID: d.id})
 		}
 	}
 	return calls
 }
 
-// resendAfter is how long the order may stay unanswered before it is given again.
-func (c *Coordinator) resendAfter(j *job) time.Duration {
-	d := c.answers.late()
-	for i := resendSoon; i < j.tries && d < resendMost; i++ {
-		d *= 2
+// resendDelay returns the time without a response after which the order is sent again.
+func (c *Coordinator) resendDelay(d *delivery) time.Duration {
+	delay := c.responses.timeout()
+	for i := resendsBeforeBackoff; i < d.sends && delay < maxResendDelay; i++ {
+		delay *= 2
 	}
-	if _, ok := j.order.(Prepare); ok {
-		return d + 2*c.telling
+	if _, ok := d.order.(Prepare); ok {
+		return delay + 2*c.distributionTime
 	}
-	return d
+	return delay
 }
 
-func (c *Coordinator) noteLoss(lost bool) {
+// recordLoss updates the share of lost orders.
+func (c *Coordinator) recordLoss(lost bool) {
 	sample := 0.0
 	if lost {
 		sample = 1
@@ -75,34 +77,34 @@
 	c.loss += lossWeight * (sample - c.loss)
 }
 
-// copies is how often each order is given at once. To give one twice does no harm.
-func (c *Coordinator) copies() int { return min(1+int(c.loss/copyLoss), mostCopies) }
+// redundancy returns how many times each order is sent at once. Orders are idempotent.
+func (c *Coordinator) redundancy() int { return min(1+int(c.loss/lossPerRedundantSend), maxRedundancy) }
 
-// copiesOf is the same for the order. A map that takes long to send is sent once:
-// where it is late, more of them make it later.
-func (c *Coordinator) copiesOf(o Order) int {
-	if _, ok := o.(Prepare); ok && c.telling > ResendAfter/2 {
+// redundancyOf returns how many times the order is sent at once. A map whose distribution
+// takes long is sent once: on a slow link, further sends delay it more.
+func (c *Coordinator) redundancyOf(o Order) int {
+	if _, ok := o.(Prepare); ok && c.distributionTime > ResendAfter/2 {
 		return 1
 	}
-	return c.copies()
+	return c.redundancy()
 }
 
-// HandleResult takes what became of a call.
+// HandleResult processes the result of a call that Next returned.
 func (c *Coordinator) HandleResult(now time.Time, call Call, res Result) {
-	j := &c.ranks[call.Rank].job
-	if call.id != j.id || j.done || c.phase == idle {
+	d := &c.ranks[call.Rank].delivery
+	if call.deliveryID != d.id || d.done || c.phase == idle {
 		return
 	}
-	if _, copies := j.order.(Prepare); !copies && res != Lost {
-		c.answers.took(now.Sub(j.sentAt))
+	if _, prepare := d.order.(Prepare); !prepare && res != Lost {
+		c.responses.add(now.Sub(d.sentAt))
 	}
 	switch res {
 	case Done:
-		c.took(call.Rank)
+		c.handleDone(call.Rank)
 	case Refused:
-		c.refused(now, call.Rank)
+		c.handleRefused(now, call.Rank)
 	case Outranked:
-		c.outranked(call.Rank)
-	case Lost: // it is given again
+		c.handleOutranked(call.Rank)
+	case Lost: // Next sends the order again
 	}
 }
--- /dev/null
+++ b/mapswitch/orders/steptimes.go
@@ -0,0 +1,57 @@
+package orders
+
+import "time"
+
+// stepTimes estimates the duration of the group's steps, so that a hold is placed only as
+// many steps ahead as arming needs: a map that waits for several steps of a group with a
+// slow rank corrects those steps seconds late.
+type stepTimes struct {
+	latest   Step // highest step that a rank has reported
+	latestAt time.Time
+	mean     time.Duration
+}
+
+const (
+	// holdLead is the time between the request of a hold and the begin of its step: the
+	// age of the last reads and the transit time of a few orders.
+	holdLead = 50 * time.Millisecond
+	// holdLeadPerRedundantSend is added for each redundant send of orders, since many of
+	// them are lost then.
+	holdLeadPerRedundantSend = 100 * time.Millisecond
+	// leadTolerance is the share of a step by which the lead may fall short of holdLead.
+	// The step that runs may then end before the hold arrives, and the attempt is repeated.
+	// A group whose steps last four times holdLead is thereby held at its next step.
+	leadTolerance = 0.2
+	// stepTimeWeight is the weight of one more step in the mean.
+	stepTimeWeight = 0.3
+	// initialStepTime is the assumed duration before a step was observed.
+	initialStepTime = 50 * time.Millisecond
+)
+
+// observe records that a rank has begun the step.
+func (t *stepTimes) observe(now time.Time, s Step) {
+	switch {
+	case t.latestAt.IsZero():
+		t.latest, t.latestAt, t.mean = s, now, initialStepTime
+	case s > t.latest:
+		each := now.Sub(t.latestAt) / time.Duration(s-t.latest)
+		t.mean += time.Duration(stepTimeWeight * float64(each-t.mean))
+		t.latest, t.latestAt = s, now
+	}
+}
+
+// expected returns the expected duration of a step: the mean, or the time that the current
+// step has run if that is longer.
+func (t *stepTimes) expected(now time.Time) time.Duration {
+	if t.latestAt.IsZero() {
+		return initialStepTime
+	}
+	return max(t.mean, now.Sub(t.latestAt))
+}
+
+// lead returns how many steps after the highest reported one a hold is to be placed, where
+// each order is sent redundancy times at once.
+func (t *stepTimes) lead(now time.Time, redundancy int) Step {
+	within := holdLead + time.Duration(redundancy-1)*holdLeadPerRedundantSend
+	return 1 + Step(float64(within)/float64(t.expected(now))+1-leadTolerance)
+}
