--- a/mapswitch/orders/election.go
+++ b/mapswitch/orders/election.go
@@ -2,55 +2,56 @@
 
 import "time"
 
-// Election decides when a rank coordinates its group: while no rank below it does, and
-// after these have had the time to begin. It is not safe for concurrent use.
+// Election decides when a rank coordinates its group: while no rank with a lower number
+// does, and after these have had the time to start. It is not safe for concurrent use.
 type Election struct {
-	started time.Time         // the process
-	opened  time.Time         // when the group was first seen open in its epoch
-	learnt  time.Time         // when its members were first known
-	askedBy map[int]time.Time // ranks that read this one, as a coordinator does
+	processStarted  time.Time
+	stateChanged    time.Time // of the last GroupStateChanged
+	membersReceived time.Time // of the last MembersReceived
+	lastReadBy      map[int]time.Time
 }
 
 const (
-	// leaderSilence is how long the coordinator of a group may be silent before the
-	// next rank takes its place: several times the pause between its reads.
-	leaderSilence = 500 * time.Millisecond
-	// settleIn is how long a process that started, or that learnt of its group, waits
-	// before it coordinates, so that a lower rank that does can be heard; StandbyDelay comes on
-	// top.
-	settleIn = leaderSilence
+	// coordinatorTimeout is the time without a read by the coordinator after which the
+	// next rank takes over: several times the pause between its reads.
+	coordinatorTimeout = 500 * time.Millisecond
+	// startupDelay is how long a process that started, or that received the members of its
+	// group, waits before it coordinates, so that it receives the reads of a lower rank
+	// that coordinates. StandbyDelay is added.
+	startupDelay = coordinatorTimeout
 )
 
-// NewElection returns that of a rank whose process starts now.
+// NewElection returns the election of a rank whose process starts now.
 func NewElection(now time.Time) *Election {
-	return &Election{started: now, askedBy: map[int]time.Time{}}
+	return &Election{processStarted: now, lastReadBy: map[int]time.Time{}}
 }
 
-// GroupStateChanged takes that the group was seen to be formed anew, or to open or close.
-func (s *Election) GroupStateChanged(now time.Time) { s.opened = now }
+// GroupStateChanged records that the group was observed to be formed anew, to open or to
+// close.
+func (e *Election) GroupStateChanged(now time.Time) { e.stateChanged = now }
 
-// MembersReceived takes that the members of the group in its epoch became known.
-func (s *Election) MembersReceived(now time.Time) { s.learnt = now }
+// MembersReceived records that the members of the group in its epoch were received.
+func (e *Election) MembersReceived(now time.Time) { e.membersReceived = now }
 
-// ReadBy takes that the rank read this one.
-func (s *Election) ReadBy(now time.Time, rank int) { s.askedBy[rank] = now }
+// ReadBy records that this rank was read by another, as only coordinators do.
+func (e *Election) ReadBy(now time.Time, rank int) { e.lastReadBy[rank] = now }
 
 // Leads reports whether the rank is to coordinate now. Where all ranks of a group of 96
-// began as it opened, each of them read all others, which filled the links of some for
-// some seconds, until their engines were taken for gone.
-func (s *Election) Leads(now time.Time, rank int) bool {
-	from := s.opened
-	if settled := s.started.Add(settleIn); settled.After(from) {
-		from = settled
+// started to coordinate as the group opened, each of them read all others; the reads filled
+// the links of some ranks for some seconds, until their engines were considered lost.
+func (e *Election) Leads(now time.Time, rank int) bool {
+	from := e.stateChanged
+	if started := e.processStarted.Add(startupDelay); started.After(from) {
+		from = started
 	}
-	if first := s.learnt.Add(settleIn); rank > 0 && first.After(from) {
-		from = first // the first rank may have learnt it later
+	if received := e.membersReceived.Add(startupDelay); rank > 0 && received.After(from) {
+		from = received // the first rank may have received the members later
 	}
 	if now.Sub(from) <= StandbyDelay(rank) {
 		return false
 	}
-	for r, at := range s.askedBy {
-		if r < rank && now.Sub(at) < leaderSilence+StandbyDelay(rank) {
+	for r, at := range e.lastReadBy {
+		if r < rank && now.Sub(at) < coordinatorTimeout+StandbyDelay(rank) {
 			return false
 		}
 	}
--- a/mapswitch/orders/model/group.go
+++ b/mapswitch/orders/model/group.go
@@ -1,15 +1,15 @@
-// Package model is a group of engines as package orders sees them, without time or
-// I/O: what a rank makes of each order, and when a step may begin. Tests of
-// coordinators and stand-ins for engines share it, so that there is one notion of what
-// an order does.
+// Package model simulates a group of engines as package orders sees them, without time or
+// I/O: the response of a rank to each order, and when a step may begin. Tests of
+// coordinators and stand-ins for engines share it, so that the effect of an order is
+// defined once.
 //
 // # Usage
 //
 //	g := model.NewGroup(8, true)
-//	res := g.CarryOut(call)      // as an order arrives
-//	g.Copied(rank)               // once the rank has copied
-//	for g.Begin() {}             // steps, until one is held
-//	if g.Broken() != "" { ... }  // ranks began a step on two maps
+//	res := g.Execute(call)          // as an order arrives
+//	g.FinishCopying(rank)           // once the rank has copied its experts
+//	for g.BeginStep() {}            // steps, until one is held
+//	if g.Violation() != "" { ... }  // ranks began a step on two maps
 package model
 
 import (
@@ -18,56 +18,57 @@
 	"clovertrail.dev/mapswitch/orders"
 )
 
-// rank is a rank's engine.
+// rank is the engine of one rank.
 type rank struct {
-	inUse    orders.Version
-	using    orders.Placement // nil for the first map
-	next     orders.Placement // that is copied or prepared
-	most     orders.Version   // the highest that it ever had
-	prepared orders.Version
-	copying  orders.Version // becomes prepared when the copies are done
-	armed    *orders.Armed
-	held     *orders.Step
-	fence    orders.Fence
+	inUse      orders.Version
+	currentMap orders.Placement // nil for the first map
+	nextMap    orders.Placement // the map that is being copied or is prepared
+	highest    orders.Version   // highest version that the rank ever had
+	prepared   orders.Version
+	copying    orders.Version // becomes prepared when the copies are done
+	armed      *orders.Armed
+	held       *orders.Step
+	fence      orders.Fence
 }
 
-// Group is a group of engines that step together. It notes a step that ranks begin on
+// Group is a group of engines that step together. It records a step that ranks begin on
 // different maps. It is not safe for concurrent use.
 type Group struct {
 	epoch       orders.Epoch
 	step        orders.Step
 	ranks       []*rank
 	checksFence bool
-	broken      string
+	violation   string
 }
 
-// NewGroup returns a group that was just formed; checksFence reports whether its engines
-// refuse orders with a lower fence than one that they have seen.
+// NewGroup returns a group that was just formed; checksFence states whether its engines
+// refuse orders with a fence lower than one that they have received.
 func NewGroup(ranks int, checksFence bool) *Group {
 	g := &Group{epoch: 1, checksFence: checksFence}
 	g.Reform(ranks)
 	return g
 }
 
-// Epoch is the formation of the group.
+// Epoch returns the epoch of the group.
 func (g *Group) Epoch() orders.Epoch { return g.epoch }
 
-// Step is the last step that was begun.
+// Step returns the last step that has begun.
 func (g *Group) Step() orders.Step { return g.step }
 
-// Violation states which step was begun on two maps; empty if none was.
-func (g *Group) Violation() string { return g.broken }
+// Violation describes the last step that began on two maps; empty if none did.
+func (g *Group) Violation() string { return g.violation }
 
-// CurrentMap is the map that the rank uses; nil for the first.
-func (g *Group) CurrentMap(r int) orders.Placement { return g.ranks[r].using }
+// CurrentMap returns the map that the rank uses; nil for the first.
+func (g *Group) CurrentMap(r int) orders.Placement { return g.ranks[r].currentMap }
 
-// Copying reports whether the rank copies experts for a map.
+// Copying reports whether the rank is copying experts for a map.
 func (g *Group) Copying(r int) bool { return g.ranks[r].copying != 0 }
 
-// FinishCopying ends the copying of a rank.
-func (g *Group) FinishCopying(r int) { g.ranks[r].copied() }
+// FinishCopying completes the copies of a rank, so that its map is prepared.
+func (g *Group) FinishCopying(r int) { g.ranks[r].finishCopying() }
 
-// Reform starts a new epoch with map 0 and nothing prepared, armed or held.
+// Reform forms the group anew: in a new epoch, with map 0 and nothing prepared, armed or
+// held.
 func (g *Group) Reform(ranks int) {
 	g.epoch++
 	g.ranks = nil
@@ -76,7 +77,7 @@
 	}
 }
 
-// BeginStep begins the next step unless a rank holds it.
+// BeginStep begins the next step; false if a rank holds it.
 func (g *Group) BeginStep() bool {
 	next := g.step + 1
 	for _, r := range g.ranks {
@@ -87,18 +88,18 @@
 	g.step = next
 	for _, r := range g.ranks {
 		if r.armed != nil && r.armed.Step == next {
-			r.inUse, r.using, r.prepared, r.armed = r.armed.Version, r.next, 0, nil
+			r.inUse, r.currentMap, r.prepared, r.armed = r.armed.Version, r.nextMap, 0, nil
 		}
 	}
 	for i, r := range g.ranks {
 		if r.inUse != g.ranks[0].inUse {
-			g.broken = fmt.Sprintf("step %d: rank %d uses map %d, rank 0 map %d", next, i, r.inUse, g.ranks[0].inUse)
+			g.violation = fmt.Sprintf("step %d: rank %d uses map %d, rank 0 map %d", next, i, r.inUse, g.ranks[0].inUse)
 		}
 	}
 	return true
 }
 
-// State is what a rank reports about itself.
+// State returns the state that the rank reports.
 func (g *Group) State(number int) orders.State {
 	r := g.ranks[number]
 	s := orders.State{Epoch: g.epoch, Open: true, Step: g.step, Map: r.inUse, Prepared: r.prepared}
@@ -113,7 +114,7 @@
 	return s
 }
 
-// Execute takes an order as it arrives.
+// Execute processes an order as it arrives.
 func (g *Group) Execute(c orders.Call) orders.Result {
 	r := g.ranks[c.Rank]
 	if c.Epoch != g.epoch {
@@ -123,13 +124,14 @@
 		return orders.Outranked
 	}
 	r.fence = max(r.fence, c.Fence)
-	if g.takes(r, c.Order) {
+	if g.accept(r, c.Order) {
 		return orders.Done
 	}
 	return orders.Refused
 }
 
-func (g *Group) takes(r *rank, o orders.Order) bool {
+// accept carries out the order; false if it does not fit the state of the rank.
+func (g *Group) accept(r *rank, o orders.Order) bool {
 	switch o := o.(type) {
 	case orders.Prepare:
 		return r.prepare(o)
@@ -185,15 +187,14 @@
 	if o.Version == r.prepared || o.Version == r.copying {
 		return true
 	}
-	if r.armed != nil || o.Version <= r.most || o.Map == nil {
+	if r.armed != nil || o.Version <= r.highest || o.Map == nil {
 		return false
 	}
-	r.most, r.copying, r.prepared, r.next = o.Version, o.Version, 0, o.Map
+	r.highest, r.copying, r.prepared, r.nextMap = o.Version, o.Version, 0, o.Map
 	return true
 }
 
-// copied ends the copying of a rank.
-func (r *rank) copied() {
+func (r *rank) finishCopying() {
 	if r.copying != 0 {
 		r.prepared, r.copying = r.copying, 0
 	}
--- a/mapswitch/orders/rows.go
+++ b/mapswitch/orders/rows.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Row is what one rank holds of one layer. It is sent as a plain list, since there
-// are many in a message.
+// Row lists the experts of one layer that one rank holds. It is encoded as an array,
+// since a message contains many of them.
 type Row struct {
 	_       struct{} `cbor:",toarray"`
 	Layer   int      `json:"layer"`
@@ -11,8 +11,8 @@
 	Experts []int    `json:"experts"`
 }
 
-// Diff gives the rows of p that differ from those of base; false if the two are not
-// of one shape. Maps of large groups change in few rows, and are sent as these.
+// Diff returns the rows of p that differ from those of base; false if the two differ in
+// their layers or ranks. Maps of large groups change in few rows, and are sent as these.
 func (p Placement) Diff(base Placement) ([]Row, bool) {
 	if len(p) != len(base) {
 		return nil, false
@@ -31,8 +31,8 @@
 	return rows, true
 }
 
-// Apply gives p with the rows changed; false if one of them is outside its shape. p
-// stays as it is.
+// Apply returns a copy of p in which the rows are replaced; false if one of them has a
+// layer or rank that p does not have. p is not modified.
 func (p Placement) Apply(rows []Row) (Placement, bool) {
 	out := make(Placement, len(p))
 	for l := range p {
