--- a/mapswitch/orders/model_test.go
+++ b/mapswitch/orders/model_test.go
@@ -18,188 +18,189 @@
 	modelSteps = 260
 )
 
-// place is any map; the model tells maps apart by their versions.
-var place = orders.Placement{{{0}, {1}, {2}}}
-
-// world is a group, the coordinators of its agents, and orders on their way.
-type world struct {
-	t      *rapid.T
-	now    time.Time
-	group  *model.Group
-	coords []*orders.Coordinator // by rank; nil while the agent is down
-	late   []orders.Call         // that may still arrive
-	salt   uint16                // of the last process that was started
-	lossy  bool                  // orders may be lost or late
+// testMap is the map of all versions; the model distinguishes maps by version.
+var testMap = orders.Placement{{{0}, {1}, {2}}}
+
+// simulation consists of a group, the coordinators of its agents, and orders in transit.
+type simulation struct {
+	t            *rapid.T
+	now          time.Time
+	group        *model.Group
+	coordinators []*orders.Coordinator // by rank; nil while the agent is down
+	delayed      []orders.Call         // calls that may still arrive
+	salt         uint16                // salt of the last process that was started
+	lossy        bool                  // orders may be lost or delayed
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, now: time.Unix(1_800_000_000, 0), group: model.NewGroup(modelRanks, rapid.Bool().Draw(t, "fences")), lossy: true}
-	w.coords = make([]*orders.Coordinator, modelRanks)
-	w.restart(0)
-	w.restart(1)
-	return w
+func newSimulation(t *rapid.T) *simulation {
+	sim := &simulation{t: t, now: time.Unix(1_800_000_000, 0), group: model.NewGroup(modelRanks, rapid.Bool().Draw(t, "fences")), lossy: true}
+	sim.coordinators = make([]*orders.Coordinator, modelRanks)
+	sim.restart(0)
+	sim.restart(1)
+	return sim
 }
 
-// restart gives the agent of a rank a coordinator that knows nothing, as a new process
-// does: its fences begin anew, below those that ranks may have seen.
-func (w *world) restart(rank int) {
-	w.salt++
-	w.coords[rank] = orders.NewCoordinator(rank, modelRanks, w.group.Epoch(), orders.NewNumberGenerator(w.salt))
-	w.coords[rank].SetCurrent(place)
+// restart replaces the coordinator of a rank by one without state, as a new process does:
+// its fences start again, below those that ranks may have received.
+func (sim *simulation) restart(rank int) {
+	sim.salt++
+	sim.coordinators[rank] = orders.NewCoordinator(rank, modelRanks, sim.group.Epoch(), orders.NewNumberGenerator(sim.salt))
+	sim.coordinators[rank].SetCurrent(testMap)
 }
 
-// observe lets the coordinator read a rank.
-func (w *world) observe(c *orders.Coordinator, rank int) {
-	c.Observe(w.now, rank, w.group.State(rank))
+// observe reports the state of a rank to the coordinator.
+func (sim *simulation) observe(c *orders.Coordinator, rank int) {
+	c.Observe(sim.now, rank, sim.group.State(rank))
 }
 
-// turn lets the coordinator do what is due, its orders arriving or not.
-func (w *world) turn(rank int) {
-	c := w.coords[rank]
+// tick lets the coordinator of a rank send the orders that are due.
+func (sim *simulation) tick(rank int) {
+	c := sim.coordinators[rank]
 	if c == nil {
 		return
 	}
-	if c.Epoch() != w.group.Epoch() {
-		w.restart(rank)
+	if c.Epoch() != sim.group.Epoch() {
+		sim.restart(rank)
 		return
 	}
-	calls := c.Next(w.now)
-	w.t.Logf("%v turn of %d: %s", w.now.UnixMilli()%100000, rank, c.Phase())
+	calls := c.Next(sim.now)
+	sim.t.Logf("%v tick of coordinator %d: %s", sim.now.UnixMilli()%100000, rank, c.Phase())
 	for _, call := range calls {
-		w.give(c, call)
+		sim.send(c, call)
 	}
 	c.TakeOutcomes()
 }
 
-// give carries out an order now, later, or never, and answers it or does not.
-func (w *world) give(c *orders.Coordinator, call orders.Call) {
+// send executes an order now, later, or never, and returns its result or loses it.
+func (sim *simulation) send(c *orders.Coordinator, call orders.Call) {
 	fate := 0
-	if w.lossy {
-		fate = rapid.IntRange(0, 5).Draw(w.t, "fate")
+	if sim.lossy {
+		fate = rapid.IntRange(0, 5).Draw(sim.t, "fate")
 	}
-	w.t.Logf("coordinator of fence %d gives rank %d %s %+v: fate %d", call.Fence, call.Rank, orders.Name(call.Order), call.Order, fate)
+	sim.t.Logf("coordinator with fence %d sends rank %d %s %+v: fate %d", call.Fence, call.Rank, orders.Name(call.Order), call.Order, fate)
 	switch fate {
-	case 3: // done, and the answer is lost
-		w.group.Execute(call)
-		c.HandleResult(w.now, call, orders.Lost)
-	case 4: // no answer, and it may be carried out later
-		w.late = append(w.late, call)
-		c.HandleResult(w.now, call, orders.Lost)
-	case 5: // done, and carried out once more later
-		w.late = append(w.late, call)
-		c.HandleResult(w.now, call, w.group.Execute(call))
+	case 3: // executed, and the response is lost
+		sim.group.Execute(call)
+		c.HandleResult(sim.now, call, orders.Lost)
+	case 4: // no response, and the order may be executed later
+		sim.delayed = append(sim.delayed, call)
+		c.HandleResult(sim.now, call, orders.Lost)
+	case 5: // executed, and executed once more later
+		sim.delayed = append(sim.delayed, call)
+		c.HandleResult(sim.now, call, sim.group.Execute(call))
 	default:
-		c.HandleResult(w.now, call, w.group.Execute(call))
+		c.HandleResult(sim.now, call, sim.group.Execute(call))
 	}
 }
 
-// act does one thing that may happen at any time.
-func (w *world) act() {
-	rank := rapid.IntRange(0, modelRanks-1).Draw(w.t, "rank")
-	coord := rapid.IntRange(0, 1).Draw(w.t, "coordinator")
-	w.now = w.now.Add(time.Duration(rapid.IntRange(0, 60).Draw(w.t, "ms")) * time.Millisecond)
-	c := w.coords[coord]
-	switch rapid.IntRange(0, 19).Draw(w.t, "act") {
+// event simulates one random event.
+func (sim *simulation) event() {
+	rank := rapid.IntRange(0, modelRanks-1).Draw(sim.t, "rank")
+	coordinator := rapid.IntRange(0, 1).Draw(sim.t, "coordinator")
+	sim.now = sim.now.Add(time.Duration(rapid.IntRange(0, 60).Draw(sim.t, "ms")) * time.Millisecond)
+	c := sim.coordinators[coordinator]
+	switch rapid.IntRange(0, 19).Draw(sim.t, "act") {
 	case 0, 1, 2, 3, 4, 5, 6:
-		w.turn(coord)
+		sim.tick(coordinator)
 	case 7, 8, 9, 10:
 		if c != nil {
 			for r := range modelRanks {
-				w.observe(c, r)
+				sim.observe(c, r)
 			}
 		}
 	case 11:
 		if c != nil {
-			w.observe(c, rank)
+			sim.observe(c, rank)
 		}
 	case 12, 13:
 		if c != nil {
-			c.Propose(w.now, place, 0)
+			c.Propose(sim.now, testMap, 0)
 		}
 	case 14, 15:
-		w.group.FinishCopying(rank)
+		sim.group.FinishCopying(rank)
 	case 16, 17:
-		w.t.Logf("step after %d begins: %v", w.group.Step(), w.group.BeginStep())
+		sim.t.Logf("step after %d begins: %v", sim.group.Step(), sim.group.BeginStep())
 	case 18:
-		if len(w.late) > 0 {
-			i := rapid.IntRange(0, len(w.late)-1).Draw(w.t, "late")
-			w.t.Logf("late: rank %d %+v: %v", w.late[i].Rank, w.late[i].Order, w.group.Execute(w.late[i]))
-			w.late = append(w.late[:i], w.late[i+1:]...)
+		if len(sim.delayed) > 0 {
+			i := rapid.IntRange(0, len(sim.delayed)-1).Draw(sim.t, "late")
+			sim.t.Logf("delayed order to rank %d %+v: %v", sim.delayed[i].Rank, sim.delayed[i].Order, sim.group.Execute(sim.delayed[i]))
+			sim.delayed = append(sim.delayed[:i], sim.delayed[i+1:]...)
 		}
 	case 19:
-		w.rare(coord)
+		sim.rareEvent(coordinator)
 	}
 }
 
-// rare is what happens seldom: an agent ends, starts again, or a group is lost.
-func (w *world) rare(coord int) {
-	switch rapid.IntRange(0, 5).Draw(w.t, "rare") {
+// rareEvent simulates an event of low probability: an agent ends or starts again, or the
+// group is formed anew.
+func (sim *simulation) rareEvent(coordinator int) {
+	switch rapid.IntRange(0, 5).Draw(sim.t, "rare") {
 	case 0:
-		w.coords[coord] = nil
+		sim.coordinators[coordinator] = nil
 	case 1, 2, 3:
-		w.restart(coord)
+		sim.restart(coordinator)
 	case 4:
-		w.group.Reform(modelRanks)
+		sim.group.Reform(modelRanks)
 	}
 }
 
-// TestInvariantSingleMap lets two coordinators work on one group at drawn moments, with
-// orders lost, late and repeated, agents that start again and know nothing, and
-// groups formed anew, and looks at each step whether all ranks begin it on one map.
+// TestInvariantSingleMap runs two coordinators on one group, with events in random order and
+// at random times: lost, delayed and repeated orders, agents that restart without state, and
+// groups formed anew. It checks at each step that all ranks begin it on one map.
 func TestInvariantSingleMap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rt)
+		sim := newSimulation(rt)
 		for range modelSteps {
-			w.act()
-			if w.group.Violation() != "" {
-				rt.Fatal(w.group.Violation())
+			sim.event()
+			if sim.group.Violation() != "" {
+				rt.Fatal(sim.group.Violation())
 			}
 		}
-		w.settle(rt)
+		sim.checkRecovery(rt)
 	})
 }
 
-// settle leaves one coordinator undisturbed, which must leave the group free to step
-// and able to change maps.
-func (w *world) settle(t *rapid.T) {
-	w.lossy, w.late = false, nil
-	w.coords[1] = nil
-	w.restart(0)
+// checkRecovery runs a single coordinator without faults: the group must end up without
+// holds, and maps must change again.
+func (sim *simulation) checkRecovery(t *rapid.T) {
+	sim.lossy, sim.delayed = false, nil
+	sim.coordinators[1] = nil
+	sim.restart(0)
 	for range 120 {
-		w.round()
-		if w.group.Violation() != "" {
-			t.Fatal(w.group.Violation())
+		sim.round()
+		if sim.group.Violation() != "" {
+			t.Fatal(sim.group.Violation())
 		}
 	}
 	for r := range modelRanks {
-		if h := w.group.State(r).Held; h != nil {
-			t.Fatalf("rank %d still holds step %d; the group stands at %d", r, *h, w.group.Step())
+		if h := sim.group.State(r).Held; h != nil {
+			t.Fatalf("rank %d still holds step %d; the group is at step %d", r, *h, sim.group.Step())
 		}
 	}
-	before := w.group.State(0).Map
+	before := sim.group.State(0).Map
 	for range fenceAttempts {
-		w.coords[0].Propose(w.now, place, 0)
+		sim.coordinators[0].Propose(sim.now, testMap, 0)
 		for range 60 {
-			w.round()
+			sim.round()
 		}
-		if w.group.State(0).Map != before {
+		if sim.group.State(0).Map != before {
 			return
 		}
 	}
-	t.Fatalf("the map was not changed; the coordinator is %s", w.coords[0].Phase())
+	t.Fatalf("the map has not changed after %d attempts; the coordinator is %s", fenceAttempts, sim.coordinators[0].Phase())
 }
 
-// fenceAttempts is how many attempts a process may need that starts with fences below
-// those of the one before it: each puts them 16 times higher.
+// fenceAttempts bounds the attempts of a process whose fences start below those of the
+// previous process: each failed attempt raises the fence by a factor of 16.
 const fenceAttempts = 3
 
-// round is a tick without trouble.
-func (w *world) round() {
-	w.now = w.now.Add(25 * time.Millisecond)
+// round reads all ranks, runs the coordinator and begins a step, without faults.
+func (sim *simulation) round() {
+	sim.now = sim.now.Add(25 * time.Millisecond)
 	for r := range modelRanks {
-		w.group.FinishCopying(r)
-		w.observe(w.coords[0], r)
+		sim.group.FinishCopying(r)
+		sim.observe(sim.coordinators[0], r)
 	}
-	w.turn(0)
-	w.group.BeginStep()
+	sim.tick(0)
+	sim.group.BeginStep()
 }
--- a/mapswitch/orders/numbergenerator_test.go
+++ b/mapswitch/orders/numbergenerator_test.go
@@ -7,62 +7,63 @@
 	"clovertrail.dev/mapswitch/orders"
 )
 
-// TestAProcessThatStartedAgainGivesNoVersionAnew: the one before it was killed after it had
-// asked some ranks for a map that no rank is seen to have yet.
-func TestAProcessThatStartedAgainGivesNoVersionAnew(t *testing.T) {
+// TestVersionsDifferAfterRestart: a process was killed after it had requested some ranks to
+// prepare a map that no rank reports yet. The next process must not reuse its version.
+func TestVersionsDifferAfterRestart(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	used := map[orders.Version]bool{}
 	for salt := range uint16(50) {
 		c := orders.NewCoordinator(0, modelRanks, 1, orders.NewNumberGenerator(salt))
-		observeAll(c, now, orders.State{Epoch: 1, Open: true, Step: 5})
-		if !c.Propose(now, place, 0) {
-			t.Fatal("nothing may be proposed")
+		observeAllRanks(c, now, orders.State{Epoch: 1, Open: true, Step: 5})
+		if !c.Propose(now, testMap, 0) {
+			t.Fatal("Propose returned false; want an attempt to start")
 		}
 		v := c.Next(now)[0].Order.(orders.Prepare).Version
 		if used[v] {
-			t.Fatalf("version %d is given again by the process with salt %d", v, salt)
+			t.Fatalf("the process with salt %d reuses version %d", salt, v)
 		}
 		used[v] = true
 	}
 }
 
-// TestAVersionIsAboveAllThatRanksHave: also above those of an earlier build, which were
-// made of the time of day.
-func TestAVersionIsAboveAllThatRanksHave(t *testing.T) {
+// TestVersionExceedsVersionsOfRanks includes versions of an earlier build, which were
+// derived from the time of day.
+func TestVersionExceedsVersionsOfRanks(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	for _, seen := range []orders.Version{1, 90_000, 171_189_690_859_008} {
+	for _, reported := range []orders.Version{1, 90_000, 171_189_690_859_008} {
 		c := orders.NewCoordinator(1, modelRanks, 1, orders.NewNumberGenerator(9))
-		observeAll(c, now, orders.State{Epoch: 1, Open: true, Step: 5, Map: seen})
-		if !c.Propose(now, place, 0) {
-			t.Fatal("nothing may be proposed")
+		observeAllRanks(c, now, orders.State{Epoch: 1, Open: true, Step: 5, Map: reported})
+		if !c.Propose(now, testMap, 0) {
+			t.Fatal("Propose returned false; want an attempt to start")
 		}
-		if v := c.Next(now)[0].Order.(orders.Prepare).Version; v <= seen || v >= 1<<53 {
-			t.Errorf("version %d after %d", v, seen)
+		if v := c.Next(now)[0].Order.(orders.Prepare).Version; v <= reported || v >= 1<<53 {
+			t.Errorf("got version %d; want one above the reported %d and below 2^53", v, reported)
 		}
 	}
 }
 
-// TestACoordinatorComesAboveAHigherFence: its ranks remember fences of a process before it.
-func TestACoordinatorComesAboveAHigherFence(t *testing.T) {
-	const remembered orders.Fence = 60_000
+// TestFenceExceedsReceivedFenceWithinFourAttempts: ranks have received higher fences from
+// the previous process.
+func TestFenceExceedsReceivedFenceWithinFourAttempts(t *testing.T) {
+	const received orders.Fence = 60_000
 	now := time.Unix(1_800_000_000, 0)
 	c := orders.NewCoordinator(0, modelRanks, 1, orders.NewNumberGenerator(9))
 	for attempt := range 4 {
 		now = now.Add(time.Second)
-		observeAll(c, now, orders.State{Epoch: 1, Open: true, Step: orders.Step(5 + attempt)})
-		if !c.Propose(now, place, 0) {
-			t.Fatal("nothing may be proposed")
+		observeAllRanks(c, now, orders.State{Epoch: 1, Open: true, Step: orders.Step(5 + attempt)})
+		if !c.Propose(now, testMap, 0) {
+			t.Fatal("Propose returned false; want an attempt to start")
 		}
 		call := c.Next(now)[0]
-		if call.Fence > remembered {
+		if call.Fence > received {
 			return
 		}
 		c.HandleResult(now, call, orders.Outranked)
 	}
-	t.Error("four attempts, and its fence is still below what its ranks have seen")
+	t.Errorf("after four attempts the fence is still not above %d, which ranks have received", received)
 }
 
-func observeAll(c *orders.Coordinator, now time.Time, s orders.State) {
+func observeAllRanks(c *orders.Coordinator, now time.Time, s orders.State) {
 	for r := range modelRanks {
 		c.Observe(now, r, s)
 	}
--- a/mapswitch/orders/rows_test.go
+++ b/mapswitch/orders/rows_test.go
@@ -9,25 +9,25 @@
 	"clovertrail.dev/mapswitch/orders"
 )
 
-// TestRowsBringAMapToAnother draws maps of one shape and sends one as rows.
-func TestRowsBringAMapToAnother(t *testing.T) {
+// TestApplyReversesDiff draws two maps of one shape and applies the rows that differ.
+func TestApplyReversesDiff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers, ranks := rapid.IntRange(1, 4).Draw(t, "layers"), rapid.IntRange(1, 5).Draw(t, "ranks")
 		base, next := drawMap(t, layers, ranks), drawMap(t, layers, ranks)
 		before, _ := base.Apply(nil)
 		rows, ok := next.Diff(base)
 		if !ok {
-			t.Fatal("maps of one shape cannot be compared")
+			t.Fatal("Diff refuses two maps of one shape")
 		}
 		got, ok := base.Apply(rows)
 		if !ok || !reflect.DeepEqual(got, next) {
-			t.Fatalf("got %v, want %v", got, next)
+			t.Fatalf("base with the rows applied: got %v, want %v", got, next)
 		}
 		if !reflect.DeepEqual(base, before) {
-			t.Fatal("the base was changed")
+			t.Fatal("Apply modified the base")
 		}
 		if rows, _ := next.Diff(next); len(rows) != 0 {
-			t.Fatalf("a map differs from itself: %v", rows)
+			t.Fatalf("Diff of a map and itself has rows: %v", rows)
 		}
 	})
 }
@@ -42,18 +42,18 @@
 	return m
 }
 
-func TestRowsOutsideAMapAreRefused(t *testing.T) {
+func TestDiffAndApplyRefuseOtherShapes(t *testing.T) {
 	base := orders.Placement{{{0}, {1}}}
 	for name, row := range map[string]orders.Row{
-		"layer too high": {Layer: 1}, "layer below none": {Layer: -1}, "rank too high": {Rank: 2}, "rank below none": {Rank: -1},
+		"layer too high": {Layer: 1}, "negative layer": {Layer: -1}, "rank too high": {Rank: 2}, "negative rank": {Rank: -1},
 	} {
 		if _, ok := base.Apply([]orders.Row{row}); ok {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: Apply accepted the row", name)
 		}
 	}
 	for name, other := range map[string]orders.Placement{"more layers": {{{0}, {1}}, {{0}, {1}}}, "more ranks": {{{0}, {1}, {2}}}} {
 		if _, ok := other.Diff(base); ok {
-			t.Errorf("%s: compared", name)
+			t.Errorf("%s: Diff accepted the map", name)
 		}
 	}
 }
