--- a/experts/rebalance/layer.go
+++ b/experts/rebalance/layer.go
@@ -6,102 +6,105 @@
 	"slices"
 )
 
-// layer is the placement of one layer while it is being changed.
+// layer is the placement of one layer while a plan changes it.
 type layer struct {
-	tokens []float64 // by expert
-	holds  [][]int   // by rank: the experts that it holds
-	ranks  [][]int   // by expert: the ranks that hold it
-	load   []float64 // by rank, as a rank at the usual pace would have it
-	pace   []float64 // by rank: how many times longer than usual its work takes
-	fresh  []int     // by rank: experts that it has to copy in
-	places int
-
-	norm    float64   // sum of the eighth powers of load
-	shifted []float64 // by rank: what a change that is tried adds to load; zero between tries
-	touched []int     // ranks that the change touches
+	tokens    []float64 // by expert
+	experts   [][]int   // by rank: the experts that it holds
+	ranks     [][]int   // by expert: the ranks that hold it
+	load      []float64 // by rank: its tokens times its slowdown
+	slowdowns []float64 // by rank: how many times longer than usual its work takes
+	copies    []int     // by rank: number of experts that it has to copy
+	slots     int       // per rank
+
+	norm     float64   // sum of the eighth powers of load
+	delta    []float64 // by rank: the load that the evaluated change adds; zero between evaluations
+	affected []int     // ranks whose load the evaluated change affects
 }
 
-func newLayer(holds [][]int, tokens, pace []float64, places int) *layer {
+func newLayer(experts [][]int, tokens, slowdowns []float64, slots int) *layer {
 	l := &layer{
-		tokens: tokens, pace: pace, places: places,
-		holds: make([][]int, len(holds)), ranks: make([][]int, len(tokens)),
-		load: make([]float64, len(holds)), fresh: make([]int, len(holds)),
-		shifted: make([]float64, len(holds)),
+		tokens: tokens, slowdowns: slowdowns, slots: slots,
+		experts: make([][]int, len(experts)), ranks: make([][]int, len(tokens)),
+		load: make([]float64, len(experts)), copies: make([]int, len(experts)),
+		delta: make([]float64, len(experts)),
 	}
-	for r, list := range holds {
-		l.holds[r] = slices.Clone(list)
+	for r, list := range experts {
+		l.experts[r] = slices.Clone(list)
 		for _, e := range list {
 			l.ranks[e] = append(l.ranks[e], r)
 		}
 	}
 	for r := range l.load {
-		for _, e := range l.holds[r] {
-			l.load[r] += l.share(e) * pace[r]
+		for _, e := range l.experts[r] {
+			l.load[r] += l.copyTokens(e) * slowdowns[r]
 		}
 	}
-	l.addUp()
+	l.recomputeNorm()
 	return l
 }
 
-// addUp sets norm anew, so that rounding does not gather in it.
-func (l *layer) addUp() {
+// recomputeNorm computes norm from load, so that rounding errors do not accumulate in it.
+func (l *layer) recomputeNorm() {
 	l.norm = 0
 	for _, x := range l.load {
-		l.norm += eighth(x)
+		l.norm += pow8(x)
 	}
 }
 
-// share is what each holder of the expert has to do for it.
-func (l *layer) share(e int) float64 { return l.tokens[e] / float64(len(l.ranks[e])) }
+// copyTokens returns the tokens of each copy of the expert.
+func (l *layer) copyTokens(e int) float64 { return l.tokens[e] / float64(len(l.ranks[e])) }
 
-// hottest is the load of the most loaded rank.
-func (l *layer) hottest() float64 { return slices.Max(l.load) }
+// maxLoad returns the load of the most loaded rank.
+func (l *layer) maxLoad() float64 { return slices.Max(l.load) }
 
-// uneven is a smooth stand-in for the load of the hottest rank: the eighth norm. It
-// also falls when one of several equally hot ranks gets less to do.
-func (l *layer) uneven() float64 { return root(l.norm) }
+// unevenness returns a smooth approximation of the load of the hottest rank: the eighth
+// norm. It also falls when the load of one of several equally hot ranks does.
+func (l *layer) unevenness() float64 { return root8(l.norm) }
 
-func eighth(x float64) float64 {
+// pow8 returns the eighth power of x.
+func pow8(x float64) float64 {
 	x *= x
 	x *= x
 	return x * x
 }
 
-func root(x float64) float64 { return math.Sqrt(math.Sqrt(math.Sqrt(x))) }
+// root8 returns the eighth root of x.
+func root8(x float64) float64 { return math.Sqrt(math.Sqrt(math.Sqrt(x))) }
 
-// change adds a copy of an expert to a rank. It may take away the copy of another
-// expert there, to make room, and the expert's own copy on a third rank.
+// change adds a copy of an expert to a rank. It may evict another expert there, to free
+// a slot, and may remove the expert from a third rank.
 type change struct {
 	expert, to int
-	evict      int // expert that makes room; none if there is room
-	from       int // rank that gives its copy up; none if it keeps it
-	gain       float64
+	evict      int     // expert that is evicted from the rank; none if a slot is free
+	from       int     // rank that the expert is removed from; none if it is only copied
+	gain       float64 // reduction of the layer's unevenness
 }
 
 const none = -1
 
-// lookMost is how many ranks are looked at for a new copy, the least loaded first: a
-// copy seldom goes to another, and in groups of more ranks a plan takes a fraction of the time.
-const lookMost = 32
+// maxReceivers bounds the ranks that are considered for a new copy, the least loaded first:
+// another rank is seldom the best one, and in groups of more ranks the bound reduces the
+// planning time to a fraction.
+const maxReceivers = 32
 
-// best finds the change that evens the layer out the most, among ranks that may
-// still copy; its gain is not positive if there is none.
-func (l *layer) best(mayCopy func(rank int) bool) change {
+// bestChange returns the change that reduces the layer's unevenness the most, among ranks
+// that may still copy; its gain is zero if no change reduces it.
+func (l *layer) bestChange(mayCopy func(rank int) bool) change {
 	best := change{}
-	before := l.uneven()
-	hot := l.argmax()
+	before := l.unevenness()
+	hot := l.hottestRank()
 	for _, to := range l.receivers(hot, mayCopy) {
-		evict := l.toEvict(to)
-		if evict == none && len(l.holds[to]) >= l.places {
+		evict := l.evictable(to)
+		if evict == none && len(l.experts[to]) >= l.slots {
 			continue
 		}
-		for _, e := range l.holds[hot] {
+		for _, e := range l.experts[hot] {
 			if slices.Contains(l.ranks[e], to) {
 				continue
 			}
 			for _, from := range []int{none, hot} {
 				c := change{expert: e, to: to, evict: evict, from: from}
-				if c.gain = before - l.after(c); c.gain > best.gain {
+				if c.gain = before - l.unevennessAfter(c); c.gain > best.gain {
 					best = c
 				}
 			}
@@ -110,22 +113,23 @@
 	return best
 }
 
-// receivers are the ranks that may take a copy from the hot one.
+// receivers returns the ranks to consider for a copy of an expert of the hottest rank.
 func (l *layer) receivers(hot int, mayCopy func(rank int) bool) []int {
 	var list []int
-	for to := range l.holds {
+	for to := range l.experts {
 		if to != hot && mayCopy(to) {
 			list = append(list, to)
 		}
 	}
-	if len(list) <= lookMost {
+	if len(list) <= maxReceivers {
 		return list
 	}
 	slices.SortFunc(list, func(a, b int) int { return cmp.Compare(l.load[a], l.load[b]) })
-	return list[:lookMost]
+	return list[:maxReceivers]
 }
 
-func (l *layer) argmax() int {
+// hottestRank returns the most loaded rank.
+func (l *layer) hottestRank() int {
 	hot := 0
 	for r, x := range l.load {
 		if x > l.load[hot] {
@@ -135,36 +139,36 @@
 	return hot
 }
 
-// toEvict is the expert whose copy on the rank is missed the least, if the rank is
-// full; none if it is not, or if all its experts are held by it alone.
-func (l *layer) toEvict(r int) int {
-	if len(l.holds[r]) < l.places {
+// evictable returns the expert whose copy on the rank has the fewest tokens, among those
+// with copies on other ranks; none if there is no such expert or the rank has a free slot.
+func (l *layer) evictable(r int) int {
+	if len(l.experts[r]) < l.slots {
 		return none
 	}
 	least := none
-	for _, e := range l.holds[r] {
-		if len(l.ranks[e]) > 1 && (least == none || l.share(e) < l.share(least)) {
+	for _, e := range l.experts[r] {
+		if len(l.ranks[e]) > 1 && (least == none || l.copyTokens(e) < l.copyTokens(least)) {
 			least = e
 		}
 	}
 	return least
 }
 
-// after is how uneven the layer would be after the change. Only the ranks that it touches
-// are worked out: a handful, of dozens.
-func (l *layer) after(c change) float64 {
-	l.try(c)
+// unevennessAfter returns the unevenness of the layer after the change. It only computes the
+// loads of the affected ranks: a handful of dozens.
+func (l *layer) unevennessAfter(c change) float64 {
+	l.evaluate(c)
 	sum := l.norm
-	for _, r := range l.touched {
-		sum += eighth(l.load[r]+l.shifted[r]) - eighth(l.load[r])
-		l.shifted[r] = 0
+	for _, r := range l.affected {
+		sum += pow8(l.load[r]+l.delta[r]) - pow8(l.load[r])
+		l.delta[r] = 0
 	}
-	return root(max(sum, 0))
+	return root8(max(sum, 0))
 }
 
-// try works out what the change adds to the loads of ranks.
-func (l *layer) try(c change) {
-	l.touched = l.touched[:0]
+// evaluate computes the load that the change adds to each rank.
+func (l *layer) evaluate(c change) {
+	l.affected = l.affected[:0]
 	e, t := c.expert, l.tokens[c.expert]
 	n := float64(len(l.ranks[e]))
 	m := n + 1
@@ -172,53 +176,54 @@
 		m = n
 	}
 	for _, r := range l.ranks[e] {
-		l.shift(r, -t/n)
+		l.addDelta(r, -t/n)
 		if r != c.from {
-			l.shift(r, t/m)
+			l.addDelta(r, t/m)
 		}
 	}
-	l.shift(c.to, t/m)
+	l.addDelta(c.to, t/m)
 	if c.evict == none {
 		return
 	}
 	k, u := float64(len(l.ranks[c.evict])), l.tokens[c.evict]
 	for _, r := range l.ranks[c.evict] {
-		l.shift(r, -u/k)
+		l.addDelta(r, -u/k)
 		if r != c.to {
-			l.shift(r, u/(k-1))
+			l.addDelta(r, u/(k-1))
 		}
 	}
 }
 
-// shift notes that a rank gets so many tokens more. A rank may be noted twice: the second
-// time adds nothing, since its shift is cleared with the first.
-func (l *layer) shift(r int, tokens float64) {
-	l.touched = append(l.touched, r)
-	l.shifted[r] += tokens * l.pace[r]
+// addDelta adds tokens to the evaluated change of a rank's load. It may list the rank as
+// affected twice: the second entry adds nothing, since the delta is cleared with the first.
+func (l *layer) addDelta(r int, tokens float64) {
+	l.affected = append(l.affected, r)
+	l.delta[r] += tokens * l.slowdowns[r]
 }
 
-// apply makes the change.
+// apply applies the change.
 func (l *layer) apply(c change) {
-	l.try(c)
-	for _, r := range l.touched {
-		l.load[r] += l.shifted[r]
-		l.shifted[r] = 0
+	l.evaluate(c)
+	for _, r := range l.affected {
+		l.load[r] += l.delta[r]
+		l.delta[r] = 0
 	}
-	l.addUp()
+	l.recomputeNorm()
 	if c.evict != none {
-		l.drop(c.evict, c.to)
+		l.remove(c.evict, c.to)
 	}
 	if c.from != none {
-		l.drop(c.expert, c.from)
+		l.remove(c.expert, c.from)
 	}
-	l.holds[c.to] = append(l.holds[c.to], c.expert)
+	l.experts[c.to] = append(l.experts[c.to], c.expert)
 	l.ranks[c.expert] = append(l.ranks[c.expert], c.to)
-	l.fresh[c.to]++
+	l.copies[c.to]++
 }
 
-func (l *layer) drop(e, r int) {
-	i := slices.Index(l.holds[r], e)
-	l.holds[r] = slices.Delete(l.holds[r], i, i+1)
+// remove removes the expert from the rank.
+func (l *layer) remove(e, r int) {
+	i := slices.Index(l.experts[r], e)
+	l.experts[r] = slices.Delete(l.experts[r], i, i+1)
 	i = slices.Index(l.ranks[e], r)
 	l.ranks[e] = slices.Delete(l.ranks[e], i, i+1)
 }
--- a/experts/rebalance/skewbound.go
+++ b/experts/rebalance/skewbound.go
@@ -1,8 +1,9 @@
 package rebalance
 
-// SkewLowerBound is the least load of the hottest ranks over that of even ones that any map of the
-// shape can have under the load: an expert's tokens are split evenly over its copies, and
-// there are only so many places.
+// SkewLowerBound returns the lowest skew that any map of the shape can have under the
+// load. The skew is the load of the hottest ranks over that of even ones; it cannot reach 1
+// under every load, since an expert's tokens are split evenly over its copies, and the
+// number of slots is limited.
 func SkewLowerBound(s Shape, load Load) float64 {
 	hot, even := 0.0, 0.0
 	for _, tokens := range load {
@@ -19,8 +20,8 @@
 	return hot / even
 }
 
-// largestCopy is what the copy with the most to do has, if each further place goes to the
-// expert whose copies have the most.
+// largestCopy returns the tokens of the most loaded copy of an expert, if each free slot
+// goes to the expert whose copies have the most.
 func largestCopy(s Shape, tokens []float64) float64 {
 	copies := make([]int, len(tokens))
 	for e := range copies {
--- a/mapswitch/orders/election_test.go
+++ b/mapswitch/orders/election_test.go
@@ -15,8 +15,8 @@
 	const readTime = 300 * time.Millisecond
 	for _, tc := range []struct {
 		name string
-		down int // number of ranks without an agent, from rank 0 on
-		most int // bound of the ranks that coordinate at the same time
+		down int           // number of ranks without an agent, from rank 0 on
+		most int           // bound of the ranks that coordinate at the same time
 		by   time.Duration // bound of the time until a rank coordinates
 	}{
 		{"all agents live", 0, 1, 300 * time.Millisecond},
