--- a/experts/rebalance/planner.go
+++ b/experts/rebalance/planner.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Shape contains the dimensions of a group's maps, and the costs that follow from its model.
+// Shape describes the size of a group's maps and the cost of copying and running experts.
 type Shape struct {
 	Ranks  int `json:"ranks"`
 	Layers int `json:"layers"`
--- a/experts/rebalance/planner_test.go
+++ b/experts/rebalance/planner_test.go
@@ -13,14 +13,14 @@
 	"clovertrail.dev/experts/rebalance"
 )
 
-// usual is the shape of a group of today.
-var usual = rebalance.Shape{Ranks: 8, Layers: 6, Experts: 64, Slots: 11, Staging: 4, CopyTime: 150 * time.Millisecond, ExpertShare: 0.85}
+// usualShape is the shape of a typical group.
+var usualShape = rebalance.Shape{Ranks: 8, Layers: 6, Experts: 64, Slots: 11, Staging: 4, CopyTime: 150 * time.Millisecond, ExpertShare: 0.85}
 
 func planner(s rebalance.Shape) rebalance.Planner {
 	return rebalance.Planner{Shape: s, Horizon: 2 * time.Second, CopySlowdown: 0.15, MaxCopies: 1, MinSaving: 0.05}
 }
 
-// dealt deals the experts in turn.
+// dealt returns the initial map: expert e of each layer is held by rank e modulo the ranks.
 func dealt(s rebalance.Shape) rebalance.Map {
 	m := make(rebalance.Map, s.Layers)
 	for l := range m {
@@ -32,10 +32,11 @@
 	return m
 }
 
-// zipf is a load with a few hot experts, another order in each layer.
+// zipf returns a load with a few hot experts, in a different order in each layer.
 func zipf(s rebalance.Shape, seed uint64) rebalance.Load { return zipfOf(s, seed, 1.6) }
 
-// zipfOf is the same with the exponent by which experts get less, one after another.
+// zipfOf returns a load whose i-th hottest expert has i^-exponent times the tokens of the
+// hottest, in a different order in each layer.
 func zipfOf(s rebalance.Shape, seed uint64, exponent float64) rebalance.Load {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	load := make(rebalance.Load, s.Layers)
@@ -48,43 +49,44 @@
 	return load
 }
 
-// check reports what is wrong with a map that follows another.
-func check(s rebalance.Shape, before, after rebalance.Map, mostCopies int) error {
+// checkMap returns an error if the map after cannot follow the map before in the shape, with at
+// most maxCopies copies per rank.
+func checkMap(s rebalance.Shape, before, after rebalance.Map, maxCopies int) error {
 	copies := make([]int, s.Ranks)
 	for l := range after {
-		held := make([]int, s.Experts)
+		holders := make([]int, s.Experts)
 		for r, list := range after[l] {
 			if len(list) > s.Slots {
-				return fmt.Errorf("layer %d: rank %d holds %d experts", l, r, len(list))
+				return fmt.Errorf("layer %d: rank %d holds %d experts, more than its slots", l, r, len(list))
 			}
-			fresh := 0
+			copied := 0
 			seen := map[int]bool{}
 			for _, e := range list {
 				if seen[e] {
 					return fmt.Errorf("layer %d: rank %d holds expert %d twice", l, r, e)
 				}
 				seen[e] = true
-				held[e]++
+				holders[e]++
 				if !slices.Contains(before[l][r], e) {
-					fresh++
+					copied++
 				}
 			}
-			copies[r] += fresh
-			if fresh > s.Staging {
-				return fmt.Errorf("layer %d: rank %d copies %d at once", l, r, fresh)
+			copies[r] += copied
+			if copied > s.Staging {
+				return fmt.Errorf("layer %d: rank %d copies %d experts, more than staging allows", l, r, copied)
 			}
 		}
-		if e := slices.Index(held, 0); e >= 0 {
-			return fmt.Errorf("layer %d: nobody holds expert %d", l, e)
+		if e := slices.Index(holders, 0); e >= 0 {
+			return fmt.Errorf("layer %d: no rank holds expert %d", l, e)
 		}
 	}
-	if slices.Max(copies) > mostCopies {
-		return fmt.Errorf("a rank copies %d", slices.Max(copies))
+	if slices.Max(copies) > maxCopies {
+		return fmt.Errorf("a rank copies %d experts, want at most %d", slices.Max(copies), maxCopies)
 	}
 	return nil
 }
 
-func TestPlansAreMapsThatRanksCanTake(t *testing.T) {
+func TestPlansFitShapeAndLimits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := rebalance.Shape{
 			Ranks: rapid.IntRange(2, 9).Draw(rt, "ranks"), Layers: rapid.IntRange(1, 4).Draw(rt, "layers"),
@@ -98,21 +100,21 @@
 		m := dealt(s)
 		for range 5 {
 			plan := p.Plan(m, zipf(s, rapid.Uint64().Draw(rt, "seed")))
-			if err := check(s, m, plan.Map, p.MaxCopies); err != nil {
+			if err := checkMap(s, m, plan.Map, p.MaxCopies); err != nil {
 				rt.Fatal(err)
 			}
 			if plan.SkewAfter > plan.SkewBefore+1e-9 {
-				rt.Fatalf("uneven by %.3f before and %.3f after", plan.SkewBefore, plan.SkewAfter)
+				rt.Fatalf("the plan increases the skew from %.3f to %.3f", plan.SkewBefore, plan.SkewAfter)
 			}
 			m = plan.Map
 		}
 	})
 }
 
-func TestAFewChangesMakeAGroupEven(t *testing.T) {
-	p := planner(usual)
+func TestFewPlansRemoveSkew(t *testing.T) {
+	p := planner(usualShape)
 	for seed := range uint64(10) {
-		m, load := dealt(usual), zipf(usual, seed)
+		m, load := dealt(usualShape), zipf(usualShape, seed)
 		var last rebalance.Plan
 		changes := 0
 		for ; changes < 12; changes++ {
@@ -123,50 +125,50 @@
 			m = last.Map
 		}
 		if last.SkewBefore > 1.35 || changes > 8 {
-			t.Errorf("seed %d: %.2f times the mean after %d changes", seed, last.SkewBefore, changes)
+			t.Errorf("seed %d: skew %.2f after %d plans, want at most 1.35 after at most 8", seed, last.SkewBefore, changes)
 		}
 	}
 }
 
-func TestTheFirstChangeAfterAShiftHelpsMost(t *testing.T) {
-	p := planner(usual)
-	m := dealt(usual)
+func TestFirstPlanAfterShiftReducesSkew(t *testing.T) {
+	p := planner(usualShape)
+	m := dealt(usualShape)
 	for range 8 {
-		m = p.Plan(m, zipf(usual, 1)).Map
+		m = p.Plan(m, zipf(usualShape, 1)).Map
 	}
-	shifted := p.Plan(m, zipf(usual, 2))
+	shifted := p.Plan(m, zipf(usualShape, 2))
 	if shifted.SkewBefore < 2 || shifted.SkewAfter > 0.7*shifted.SkewBefore {
-		t.Errorf("from %.2f to %.2f", shifted.SkewBefore, shifted.SkewAfter)
+		t.Errorf("the plan changes the skew from %.2f to %.2f, want from at least 2 to at most 0.7 times that", shifted.SkewBefore, shifted.SkewAfter)
 	}
 }
 
-func TestNothingIsChangedForLittle(t *testing.T) {
-	flat := zipf(usual, 1)
+func TestPlanNotWorthwhileForSmallSaving(t *testing.T) {
+	flat := zipf(usualShape, 1)
 	for _, l := range flat {
 		for e := range l {
 			l[e] = 1 + 0.05*float64(e%7)
 		}
 	}
-	empty := make(rebalance.Load, usual.Layers)
+	empty := make(rebalance.Load, usualShape.Layers)
 	for l := range empty {
-		empty[l] = make([]float64, usual.Experts)
+		empty[l] = make([]float64, usualShape.Experts)
 	}
 	for name, load := range map[string]rebalance.Load{"even": flat, "none": empty} {
-		if plan := planner(usual).Plan(dealt(usual), load); plan.Worthwhile() {
-			t.Errorf("%s load: %d moves for %.3f", name, plan.Copies, plan.Saving())
+		if plan := planner(usualShape).Plan(dealt(usualShape), load); plan.Worthwhile() {
+			t.Errorf("%s load: a plan of %d copies that saves %.3f is worthwhile", name, plan.Copies, plan.Saving())
 		}
 	}
 }
 
-func TestSlowCopiesAreNotWorthAShortHorizon(t *testing.T) {
-	p := planner(usual)
+func TestPlanNotWorthwhileIfCopiesOutlastHorizon(t *testing.T) {
+	p := planner(usualShape)
 	p.Shape.CopyTime = 3 * time.Second
-	if plan := p.Plan(dealt(usual), zipf(usual, 1)); plan.Worthwhile() {
-		t.Errorf("%d moves that take longer than the load is taken to last", plan.Copies)
+	if plan := p.Plan(dealt(usualShape), zipf(usualShape, 1)); plan.Worthwhile() {
+		t.Errorf("a plan of %d copies that take longer than the horizon is worthwhile", plan.Copies)
 	}
 }
 
-func TestEstimateFollowsAShiftAtOnceAndIgnoresNoise(t *testing.T) {
+func TestEstimateFollowsShiftsAndIgnoresNoise(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	noisy := func(load rebalance.Load) rebalance.Load {
 		out := make(rebalance.Load, len(load))
@@ -177,29 +179,29 @@
 		}
 		return out
 	}
-	e := rebalance.NewEstimate(usual)
-	before, after := zipf(usual, 1), zipf(usual, 2)
+	e := rebalance.NewEstimate(usualShape)
+	before, after := zipf(usualShape, 1), zipf(usualShape, 2)
 	for range 30 {
 		e.Add(noisy(before))
 	}
 	if !e.Stable() {
-		t.Error("noise is taken for a shift")
+		t.Error("noise counts as a shift")
 	}
-	if d := apart(e.Load()[0], before[0]); d > 0.08 {
-		t.Errorf("%.3f away from a steady load", d)
+	if d := distance(e.Load()[0], before[0]); d > 0.08 {
+		t.Errorf("distance %.3f from a steady load after 30 reports, want at most 0.08", d)
 	}
 	e.Add(noisy(after))
 	if e.Stable() {
-		t.Error("a shift is taken for noise")
+		t.Error("a shift counts as noise")
 	}
 	e.Add(noisy(after))
-	if d := apart(e.Load()[0], after[0]); d > 0.15 {
-		t.Errorf("%.3f away from the new load after two reports", d)
+	if d := distance(e.Load()[0], after[0]); d > 0.15 {
+		t.Errorf("distance %.3f from the new load after two reports, want at most 0.15", d)
 	}
 }
 
-// apart is half of the sum of the differences between shares.
-func apart(shares, load []float64) float64 {
+// distance returns half of the sum of the differences between the shares and those of load.
+func distance(shares, load []float64) float64 {
 	total, d := 0.0, 0.0
 	for _, x := range load {
 		total += x
@@ -219,23 +221,23 @@
 }
 
 func BenchmarkPlan(b *testing.B) {
-	p, m, load := planner(usual), dealt(usual), zipf(usual, 1)
+	p, m, load := planner(usualShape), dealt(usualShape), zipf(usualShape, 1)
 	for b.Loop() {
 		p.Plan(m, load)
 	}
 }
 
-func TestASlowRankGetsLess(t *testing.T) {
+func TestSlowRanksGetLessLoad(t *testing.T) {
 	grown := rebalance.Shape{Ranks: 32, Layers: 12, Experts: 128, Slots: 5, Staging: 2, CopyTime: 36 * time.Millisecond, ExpertShare: 0.85}
 	tests := []struct {
-		name  string
-		shape rebalance.Shape
-		pace  float64
-		slow  int // ranks
+		name      string
+		shape     rebalance.Shape
+		slowdown  float64
+		slowRanks int
 	}{
-		{"eight ranks, one a little slow", usual, 1.6, 1},
-		{"eight ranks, one very slow", usual, 4.76, 1},
-		{"eight ranks, half of them slow", usual, 2, 4},
+		{"eight ranks, one a little slow", usualShape, 1.6, 1},
+		{"eight ranks, one very slow", usualShape, 4.76, 1},
+		{"eight ranks, half of them slow", usualShape, 2, 4},
 		{"32 ranks, one very slow", grown, 4.76, 1},
 	}
 	for _, tc := range tests {
@@ -245,7 +247,7 @@
 		for range 6 {
 			m = p.Plan(m, load).Map
 		}
-		p.Slowdowns = slices.Repeat([]float64{tc.pace}, tc.slow)
+		p.Slowdowns = slices.Repeat([]float64{tc.slowdown}, tc.slowRanks)
 		p.MinSaving = 0.01
 		first := p.Plan(m, load)
 		before, after := first.SkewBefore, first.SkewAfter
@@ -254,8 +256,8 @@
 			plan := p.Plan(m, load)
 			m, after = plan.Map, plan.SkewAfter
 		}
-		if before < 0.75*tc.pace || after > 1.35 {
-			t.Errorf("%s: uneven by %.2f before and %.2f after", tc.name, before, after)
+		if before < 0.75*tc.slowdown || after > 1.35 {
+			t.Errorf("%s: skew %.2f before and %.2f after the plans", tc.name, before, after)
 		}
 		p.Slowdowns = nil
 		for range 8 {
@@ -263,28 +265,28 @@
 			m, after = plan.Map, plan.SkewAfter
 		}
 		if after > 1.35 {
-			t.Errorf("%s: at the usual pace again uneven by %.2f", tc.name, after)
+			t.Errorf("%s: skew %.2f after the slowdown ended, want at most 1.35", tc.name, after)
 		}
 	}
 }
 
-func TestASteepSkewIsFirstMendedWithOneCopyARank(t *testing.T) {
-	p := planner(usual)
+func TestSteepSkewIsFirstReducedByOneCopyPerRank(t *testing.T) {
+	p := planner(usualShape)
 	p.MaxCopies, p.MinSaving = 4, 0.01
-	m, load := dealt(usual), zipf(usual, 5)
+	m, load := dealt(usualShape), zipf(usualShape, 5)
 	first := p.Plan(m, load)
-	if first.SkewBefore < 2 || first.CopyTime != usual.CopyTime || first.SkewAfter > first.SkewBefore*2/3 {
-		t.Errorf("uneven by %.2f, then %.2f after copying for %v", first.SkewBefore, first.SkewAfter, first.CopyTime)
+	if first.SkewBefore < 2 || first.CopyTime != usualShape.CopyTime || first.SkewAfter > first.SkewBefore*2/3 {
+		t.Errorf("skew %.2f, then %.2f after copying for %v", first.SkewBefore, first.SkewAfter, first.CopyTime)
 	}
 	for range 9 {
 		plan := p.Plan(m, load)
 		if plan.SkewBefore <= 2 {
-			if plan.Copies > 0 && plan.CopyTime <= usual.CopyTime {
-				t.Errorf("uneven by %.2f, and copying for %v only", plan.SkewBefore, plan.CopyTime)
+			if plan.Copies > 0 && plan.CopyTime <= usualShape.CopyTime {
+				t.Errorf("skew %.2f, and copying for %v only", plan.SkewBefore, plan.CopyTime)
 			}
 			return
 		}
 		m = plan.Map
 	}
-	t.Error("the skew stays steep")
+	t.Error("the skew is still steep after 9 plans")
 }
