--- a/experts/rebalance/layer.go
+++ b/experts/rebalance/layer.go
@@ -61,14 +61,12 @@
 // norm. It also falls when the load of one of several equally hot ranks does.
 func (l *layer) unevenness() float64 { return root8(l.norm) }
 
-// pow8 returns the eighth power of x.
 func pow8(x float64) float64 {
 	x *= x
 	x *= x
 	return x * x
 }
 
-// root8 returns the eighth root of x.
 func root8(x float64) float64 { return math.Sqrt(math.Sqrt(math.Sqrt(x))) }
 
 // change adds a copy of an expert to a rank. It may evict another expert there, to free
@@ -128,7 +126,6 @@
 	return list[:maxReceivers]
 }
 
-// hottestRank returns the most loaded rank.
 func (l *layer) hottestRank() int {
 	hot := 0
 	for r, x := range l.load {
@@ -155,7 +152,7 @@
 }
 
 // unevennessAfter returns the unevenness of the layer after the change. It only computes the
-// loads of the affected ranks: a handful of dozens.
+// loads of the affected ranks: a handful out of dozens.
 func (l *layer) unevennessAfter(c change) float64 {
 	l.evaluate(c)
 	sum := l.norm
@@ -201,7 +198,6 @@
 	l.delta[r] += tokens * l.slowdowns[r]
 }
 
-// apply applies the change.
 func (l *layer) apply(c change) {
 	l.evaluate(c)
 	for _, r := range l.affected {
@@ -220,7 +216,6 @@
 	l.copies[c.to]++
 }
 
-// remove removes the expert from the rank.
 func (l *layer) remove(e, r int) {
 	i := slices.Index(l.experts[r], e)
 	l.experts[r] = slices.Delete(l.experts[r], i, i+1)
--- a/mapswitch/orders/attempt.go
+++ b/mapswitch/orders/attempt.go
@@ -15,7 +15,7 @@
 	yielding               // the own rank is requested to release a later hold
 	holding                // the own rank is requested to hold a step
 	arming                 // under the hold, ranks are requested to arm
-	clearing               // under the hold, ranks are requested to disarm and to prepare a version that voids earlier orders
+	clearing               // under the hold, ranks are requested to disarm and to prepare a voiding version
 	releasing              // ranks are requested to release their holds
 )
 
@@ -37,7 +37,7 @@
 	NotHeld EndReason = "not_held"
 	// NotArmed: a rank refused to arm, and all others were disarmed.
 	NotArmed EndReason = "not_armed"
-	// Overruled: a rank has received a higher fence, from another coordinator.
+	// Overruled: a rank has received a higher fence, so another coordinator is active.
 	Overruled EndReason = "overruled"
 	// Regrouped: the group was formed anew.
 	Regrouped EndReason = "regrouped"
@@ -63,7 +63,7 @@
 }
 
 // handleDone records that a rank carried out its order. A rank that has disarmed is then
-// requested to prepare a voiding version.
+// requested to prepare a voiding version (see voidingOrder).
 func (c *Coordinator) handleDone(r int) {
 	k := &c.ranks[r]
 	if _, disarmed := k.delivery.order.(Disarm); disarmed && c.phase == clearing {
--- a/mapswitch/orders/orphan.go
+++ b/mapswitch/orders/orphan.go
@@ -11,7 +11,8 @@
 	// recovering it already.
 	ownOrphanAfter = 400 * time.Millisecond
 	// orphanAfter is the same time for a hold at another rank. It is shorter, since a rank
-	// only coordinates after it has long received no read from that rank's coordinator.
+	// starts to coordinate only after it has received no read from that rank's coordinator
+	// for a long time.
 	orphanAfter = 100 * time.Millisecond
 )
 
--- a/mapswitch/orders/sending.go
+++ b/mapswitch/orders/sending.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// This file sends orders, and sends them again until each rank has responded: the
-// deliveries of a phase, the redundant sends on lossy links, and the time to the next
-// try. The phases are in attempt.go.
+// This file determines which orders to send, and when to send them again until each rank has
+// responded: the deliveries of a phase, the redundant sends on lossy links, and the time to
+// the next send. The phases are in attempt.go.
 
 const (
 	// lossWeight is the weight of one more order in the share of lost orders.
