--- a/demo/result.go
+++ b/demo/result.go
@@ -83,8 +83,8 @@
 			dealt[layer][e%s.Ranks] = append(dealt[layer][e%s.Ranks], e)
 		}
 	}
-	shape := rebalance.Shape{Ranks: s.Ranks, Layers: s.Layers, Experts: s.Experts, Places: s.Places}
-	return rebalance.Planner{Shape: shape}.Plan(dealt, load).Before, rebalance.Bound(shape, load)
+	shape := rebalance.Shape{Ranks: s.Ranks, Layers: s.Layers, Experts: s.Experts, Slots: s.Places}
+	return rebalance.Planner{Shape: shape}.Plan(dealt, load).SkewBefore, rebalance.SkewLowerBound(shape, load)
 }
 
 // Broken is what must never be: a step on two maps, or an answer that was not the
