--- a/cli/logs/explain.go
+++ b/cli/logs/explain.go
@@ -65,10 +65,10 @@
 // news of it with them: a box logs a request as it ends.
 func unknown(s *Set, request string) error {
 	var boxes []string
-	for _, l := range s.Died() {
+	for _, l := range s.UncleanRestarts() {
 		boxes = append(boxes, l.box+" until "+l.at.Format(clock))
 	}
-	for _, l := range s.Silent() {
+	for _, l := range s.SilentBoxes() {
 		boxes = append(boxes, l.box+", whose last line is of "+l.at.Format(clock))
 	}
 	if len(boxes) == 0 {
--- a/cli/logs/set.go
+++ b/cli/logs/set.go
@@ -62,9 +62,9 @@
 // Damaged is how many lines could not be read.
 func (s *Set) Damaged() int { return s.damaged }
 
-// Died are the first lines of processes whose box had one before that served requests and
+// UncleanRestarts are the first lines of processes whose box had one before that served requests and
 // did not stop as planned: it was killed, or lost power.
-func (s *Set) Died() []Line {
+func (s *Set) UncleanRestarts() []Line {
 	var list []Line
 	running := map[string]bool{}
 	for _, l := range s.lines {
@@ -84,9 +84,9 @@
 // gone, while others write on. Under load a box ends several requests a second.
 const silentFor = 3 * time.Second
 
-// Silent are the last lines of boxes that served requests, did not stop as planned, and
+// SilentBoxes are the last lines of boxes that served requests, did not stop as planned, and
 // wrote nothing more while others did: they went for good, or stand still.
-func (s *Set) Silent() []Line {
+func (s *Set) SilentBoxes() []Line {
 	last := map[string]Line{}
 	served := map[string]bool{}
 	for _, l := range s.lines {
