--- a/cli/logs/box_view.go
+++ b/cli/logs/box_view.go
@@ -86,8 +86,8 @@
 	age  time.Duration
 }
 
-// What describes it.
-func (f Fact) What() string { return f.what }
+// Text describes it.
+func (f Fact) Text() string { return f.what }
 
 // Age is how long before it was reported.
 func (f Fact) Age() time.Duration { return f.age }
--- a/cli/logs/explain.go
+++ b/cli/logs/explain.go
@@ -12,8 +12,8 @@
 	"clovertrail.dev/core/fault"
 )
 
-// ErrUnknown reports that no line has the request.
-var ErrUnknown = errs.Class("unknown request")
+// ErrUnknownRequest reports that no line has the request.
+var ErrUnknownRequest = errs.Class("unknown request")
 
 // Timeline is what happened to one request.
 type Timeline struct {
@@ -72,9 +72,9 @@
 		boxes = append(boxes, l.box+", whose last line is of "+l.at.Format(clock))
 	}
 	if len(boxes) == 0 {
-		return ErrUnknown.New("%s is in none of %d lines", request, len(s.lines))
+		return ErrUnknownRequest.New("%s is in none of %d lines", request, len(s.lines))
 	}
-	return ErrUnknown.New("%s is in none of %d lines; boxes that ended without a word may have had it: %s",
+	return ErrUnknownRequest.New("%s is in none of %d lines; boxes that ended without a word may have had it: %s",
 		request, len(s.lines), strings.Join(boxes, "; "))
 }
 
--- a/cli/logs/logs_test.go
+++ b/cli/logs/logs_test.go
@@ -62,7 +62,7 @@
 	}
 	facts := map[string]time.Duration{}
 	for _, f := range got.Facts() {
-		facts[f.What()] = f.Age()
+		facts[f.Text()] = f.Age()
 	}
 	for what, age := range map[string]time.Duration{
 		"configuration 5 from store":                        2500 * time.Millisecond,
@@ -96,7 +96,7 @@
 }
 
 func TestExplainSaysThatARequestIsUnknown(t *testing.T) {
-	if _, err := logs.Explain(read(t, entry), "r9"); !logs.ErrUnknown.Has(err) {
+	if _, err := logs.Explain(read(t, entry), "r9"); !logs.ErrUnknownRequest.Has(err) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -132,7 +132,7 @@
 func TestWhatAProcessKnewIsForgottenWithIt(t *testing.T) {
 	again := "time=2026-05-31T06:24:03.200Z level=INFO msg=started box=front-1 hall=near\n"
 	got, err := logs.Explain(read(t, entry+again), "r1")
-	if err != nil || len(got.Facts()) != 1 || got.Facts()[0].What() != "no target of s is listed" {
+	if err != nil || len(got.Facts()) != 1 || got.Facts()[0].Text() != "no target of s is listed" {
 		t.Errorf("held true: %v, %v", got.Facts(), err)
 	}
 }
--- a/cli/reading.go
+++ b/cli/reading.go
@@ -73,7 +73,7 @@
 func factTable(t *logs.Timeline) table {
 	out := table{head: []string{"WHAT", "FOR"}}
 	for _, f := range t.Facts() {
-		out.rows = append(out.rows, []string{f.What(), f.Age().Round(time.Millisecond).String()})
+		out.rows = append(out.rows, []string{f.Text(), f.Age().Round(time.Millisecond).String()})
 	}
 	return out
 }
