--- a/cli/logs/logs_test.go
+++ b/cli/logs/logs_test.go
@@ -143,13 +143,13 @@
 	if n, bad := r.Lines(); n != 12 || bad != 2 {
 		t.Errorf("%d lines read, %d damaged", n, bad)
 	}
-	if got := fmt.Sprint(r.Ends(), r.Attempts(), r.Changes()); got != "[{answered 1} {refused as no_target 1}] [{lost: connection reset by peer 1}] [{committed 1}]" {
+	if got := fmt.Sprint(r.Outcomes(), r.FailedAttempts(), r.MapChanges()); got != "[{answered 1} {refused as no_target 1}] [{lost: connection reset by peer 1}] [{committed 1}]" {
 		t.Errorf("counted %s", got)
 	}
-	if p := r.First(); p.N != 1 || p.P95.Round(time.Millisecond) != 90*time.Millisecond {
+	if p := r.FirstByte(); p.N != 1 || p.P95.Round(time.Millisecond) != 90*time.Millisecond {
 		t.Errorf("first byte %+v", p)
 	}
-	if len(r.Seconds()) != 5 || r.Seconds()[2].Maps != 1 || r.Seconds()[3].Refused+r.Seconds()[3].Answered != 2 {
+	if len(r.Seconds()) != 5 || r.Seconds()[2].MapChanges != 1 || r.Seconds()[3].Refused+r.Seconds()[3].Answered != 2 {
 		t.Errorf("by second: %+v", r.Seconds())
 	}
 	var svg bytes.Buffer
--- a/cli/logs/plot.go
+++ b/cli/logs/plot.go
@@ -35,14 +35,14 @@
 	curves []curve
 }{
 	{"time until answers began, 95 in 100, ms", []curve{
-		{"first", func(s Second) float64 { return float64(s.First) / float64(time.Millisecond) }},
+		{"first", func(s Second) float64 { return float64(s.FirstByteP95) / float64(time.Millisecond) }},
 	}},
 	{"requests a second", []curve{
 		{"answered", func(s Second) float64 { return float64(s.Answered) }},
 		{"refused", func(s Second) float64 { return float64(s.Refused) }},
 	}},
 	{"changes of maps a second", []curve{
-		{"in use", func(s Second) float64 { return float64(s.Maps) }},
+		{"in use", func(s Second) float64 { return float64(s.MapChanges) }},
 	}},
 }
 
--- a/cli/logs/report.go
+++ b/cli/logs/report.go
@@ -12,8 +12,8 @@
 	n    int
 }
 
-// What was counted.
-func (c Count) What() string { return c.what }
+// Label was counted.
+func (c Count) Label() string { return c.what }
 
 // N is how often.
 func (c Count) N() int { return c.n }
@@ -28,8 +28,8 @@
 type Second struct {
 	From              time.Time
 	Answered, Refused int
-	Maps              int           // changes of maps that came into use
-	First             time.Duration // until answers began, the 95th percentile
+	MapChanges              int           // changes of maps that came into use
+	FirstByteP95             time.Duration // until answers began, the 95th percentile
 }
 
 // Report is how a stretch of time went, over all boxes.
@@ -75,7 +75,7 @@
 		r.add(l, begins)
 	}
 	for i, h := range begins {
-		r.seconds[i].First = micros(h.ValueAtQuantile(95))
+		r.seconds[i].FirstByteP95 = micros(h.ValueAtQuantile(95))
 	}
 	return r
 }
@@ -109,7 +109,7 @@
 	case "map change ended":
 		r.changes[l.Get("end")]++
 		if l.Get("end") == "committed" {
-			r.seconds[at].Maps++
+			r.seconds[at].MapChanges++
 		}
 	}
 }
--- a/cli/logs/summary.go
+++ b/cli/logs/summary.go
@@ -42,24 +42,24 @@
 // Span is the time of the first and the last line.
 func (r *Report) Span() (from, to time.Time) { return r.from, r.to }
 
-// Ends are how requests ended.
-func (r *Report) Ends() []Count { return counts(r.ends) }
+// Outcomes are how requests ended.
+func (r *Report) Outcomes() []Count { return counts(r.ends) }
 
-// Attempts are how attempts ended that were not the end of their request.
-func (r *Report) Attempts() []Count { return counts(r.attempts) }
+// FailedAttempts are how attempts ended that were not the end of their request.
+func (r *Report) FailedAttempts() []Count { return counts(r.attempts) }
 
-// Changes are how changes of maps ended.
-func (r *Report) Changes() []Count { return counts(r.changes) }
+// MapChanges are how changes of maps ended.
+func (r *Report) MapChanges() []Count { return counts(r.changes) }
 
 // Skews are the skews at which maps were proposed: load of the hottest ranks over that
 // of even ones.
 func (r *Report) Skews() []float64 { return r.skews }
 
-// First is the time until answers began.
-func (r *Report) First() Percentiles { return percentiles(r.first) }
+// FirstByte is the time until answers began.
+func (r *Report) FirstByte() Percentiles { return percentiles(r.first) }
 
-// Pauses are the longest pauses between two events of a stream.
-func (r *Report) Pauses() Percentiles { return percentiles(r.pauses) }
+// StreamPauses are the longest pauses between two events of a stream.
+func (r *Report) StreamPauses() Percentiles { return percentiles(r.pauses) }
 
 // Seconds are the seconds of the span.
 func (r *Report) Seconds() []Second { return r.seconds }
--- a/cli/reading.go
+++ b/cli/reading.go
@@ -121,9 +121,9 @@
 
 func reportTables(r *logs.Report) []table {
 	latency := table{head: []string{"MS", "P50", "P95", "P99", "MOST", "OF"}}
-	latency.rows = append(latency.rows, latencyRow("until an answer began", r.First()), latencyRow("longest pause of a stream", r.Pauses()))
+	latency.rows = append(latency.rows, latencyRow("until an answer began", r.FirstByte()), latencyRow("longest pause of a stream", r.StreamPauses()))
 	return []table{
-		countTable("REQUESTS", r.Ends()), countTable("FAILED ATTEMPTS", r.Attempts()), countTable("CHANGES OF MAPS", r.Changes()),
+		countTable("REQUESTS", r.Outcomes()), countTable("FAILED ATTEMPTS", r.FailedAttempts()), countTable("CHANGES OF MAPS", r.MapChanges()),
 		latency,
 	}
 }
@@ -143,7 +143,7 @@
 func countTable(head string, list []logs.Count) table {
 	t := table{head: []string{head, ""}}
 	for _, c := range list {
-		t.rows = append(t.rows, []string{c.What(), strconv.Itoa(c.N())})
+		t.rows = append(t.rows, []string{c.Label(), strconv.Itoa(c.N())})
 	}
 	return t
 }
--- a/demo/result.go
+++ b/demo/result.go
@@ -109,11 +109,11 @@
 		printf(w, "%s\t%d\t%d\n", k, r.asked[k], r.served[k])
 	}
 	printf(w, "\nENDS, BY ATTEMPT OF A CALLER\t\n")
-	for _, c := range r.report.Ends() {
-		printf(w, "%s\t%d\n", c.What(), c.N())
+	for _, c := range r.report.Outcomes() {
+		printf(w, "%s\t%d\n", c.Label(), c.N())
 	}
 	printf(w, "told to come back\t%d\n", r.back)
-	first, pauses := r.report.First(), r.report.Pauses()
+	first, pauses := r.report.FirstByte(), r.report.StreamPauses()
 	printf(w, "\nMS\tP50\tP95\tP99\n")
 	printf(w, "until an answer began\t%d\t%d\t%d\n", first.P50.Milliseconds(), first.P95.Milliseconds(), first.P99.Milliseconds())
 	printf(w, "longest pause of a stream\t%d\t%d\t%d\n", pauses.P50.Milliseconds(), pauses.P95.Milliseconds(), pauses.P99.Milliseconds())
@@ -126,8 +126,8 @@
 
 func changes(r *logs.Report) string {
 	text := ""
-	for _, c := range r.Changes() {
-		text += fmt.Sprintf("%d %s, ", c.N(), c.What())
+	for _, c := range r.MapChanges() {
+		text += fmt.Sprintf("%d %s, ", c.N(), c.Label())
 	}
 	if text == "" {
 		return "never"
