--- a/cli/logs/limits.go
+++ b/cli/logs/limits.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Limited is what all boxes together sent a target while it named limits.
-type Limited struct {
+// LimitUsage is what all boxes together sent a target while it named limits.
+type LimitUsage struct {
 	target       string
 	spells       []limitSpell
 	sent, served int
@@ -25,13 +25,13 @@
 const limitWindow = 4 * time.Second
 
 // Target is its id.
-func (l Limited) Target() string { return l.target }
+func (l LimitUsage) Target() string { return l.target }
 
 // PerSecond is the limit that it named last, in requests a second from all boxes.
-func (l Limited) PerSecond() float64 { return l.spells[len(l.spells)-1].perSecond }
+func (l LimitUsage) PerSecond() float64 { return l.spells[len(l.spells)-1].perSecond }
 
 // Allowed is how many requests its limits came to, in the time for which it named them.
-func (l Limited) Allowed() float64 {
+func (l LimitUsage) Allowed() float64 {
 	sum := 0.0
 	for _, x := range l.spells {
 		sum += x.perSecond * x.to.Sub(x.from).Seconds()
@@ -40,16 +40,16 @@
 }
 
 // Sent is how many requests it was sent in that time.
-func (l Limited) Sent() int { return l.sent }
+func (l LimitUsage) Sent() int { return l.sent }
 
 // Served is how many of them it served.
-func (l Limited) Served() int { return l.served }
+func (l LimitUsage) Served() int { return l.served }
 
-// Most is the most that it was sent within four seconds of that time.
-func (l Limited) Most() int { return l.most }
+// Peak is the most that it was sent within four seconds of that time.
+func (l LimitUsage) Peak() int { return l.most }
 
-// Limits are the targets that named limits, in order of their ids.
-func (s *Set) Limits() []Limited {
+// LimitUsages are the targets that named limits, in order of their ids.
+func (s *Set) LimitUsages() []LimitUsage {
 	spells := map[string][]limitSpell{}
 	for _, l := range s.lines {
 		if l.msg == "target limit" {
@@ -57,16 +57,16 @@
 			spells[id] = noteLimit(spells[id], l)
 		}
 	}
-	var list []Limited
+	var list []LimitUsage
 	for id, of := range spells {
 		if last := &of[len(of)-1]; last.to.IsZero() {
 			last.to = s.lines[len(s.lines)-1].at
 		}
-		x := Limited{target: id, spells: of}
+		x := LimitUsage{target: id, spells: of}
 		x.count(s)
 		list = append(list, x)
 	}
-	slices.SortFunc(list, func(a, b Limited) int { return cmp.Compare(a.target, b.target) })
+	slices.SortFunc(list, func(a, b LimitUsage) int { return cmp.Compare(a.target, b.target) })
 	return list
 }
 
@@ -90,7 +90,7 @@
 }
 
 // count adds up what boxes sent the target.
-func (l *Limited) count(s *Set) {
+func (l *LimitUsage) count(s *Set) {
 	var times []time.Time
 	for _, line := range s.lines {
 		if line.Get("target") != l.target || line.msg != "request answered" && line.msg != "attempt failed" {
--- a/cli/logs/logs_test.go
+++ b/cli/logs/logs_test.go
@@ -254,13 +254,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := s.Limits()
+	list := s.LimitUsages()
 	if len(list) != 1 {
 		t.Fatalf("%+v", list)
 	}
 	l := list[0]
 	const allowed = 1.5*4 + 4*6
-	if l.Target() != "i-1" || l.PerSecond() != 4 || l.Allowed() != allowed || l.Sent() != 3 || l.Served() != 2 || l.Most() != 2 {
+	if l.Target() != "i-1" || l.PerSecond() != 4 || l.Allowed() != allowed || l.Sent() != 3 || l.Served() != 2 || l.Peak() != 2 {
 		t.Errorf("%+v", l)
 	}
 }
--- a/cli/reading.go
+++ b/cli/reading.go
@@ -104,7 +104,7 @@
 	from, to := r.Span()
 	_, _ = fmt.Fprintf(a.out, "%d lines, %s from %s\n", lines, to.Sub(from).Round(time.Second), from.Format(time.RFC3339))
 	tables := reportTables(r)
-	if limits := set.Limits(); len(limits) > 0 {
+	if limits := set.LimitUsages(); len(limits) > 0 {
 		tables = append(tables, limitTable(limits))
 	}
 	for _, t := range tables {
@@ -129,12 +129,12 @@
 }
 
 // limitTable sets what targets that named limits were sent beside what they allowed.
-func limitTable(list []logs.Limited) table {
+func limitTable(list []logs.LimitUsage) table {
 	t := table{head: []string{"TARGETS WITH LIMITS", "A SECOND", "ALLOWED", "SENT", "SERVED", "MOST IN 4 S"}}
 	for _, l := range list {
 		t.rows = append(t.rows, []string{
 			l.Target(), strconv.FormatFloat(l.PerSecond(), 'g', 4, 64), strconv.FormatFloat(l.Allowed(), 'f', 0, 64),
-			strconv.Itoa(l.Sent()), strconv.Itoa(l.Served()), strconv.Itoa(l.Most()),
+			strconv.Itoa(l.Sent()), strconv.Itoa(l.Served()), strconv.Itoa(l.Peak()),
 		})
 	}
 	return t
