--- a/cli/logs/doc.go
+++ b/cli/logs/doc.go
@@ -1,17 +1,17 @@
-// Package logs reads the lines that clovertrail-node writes, of any number of boxes, and
-// makes of them what operators ask for: what happened to one request and what the boxes
-// held true at that moment (Explain), and how a stretch of time went as a whole (Report,
-// with plots).
+// Package logs parses the log lines that clovertrail-node writes, from any number of boxes,
+// and evaluates them for operators: what happened to one request and which state the boxes
+// had at that moment (Explain), and totals and latencies over a period, with plots (Report).
 //
-// A line is key=value pairs, as log/slog writes them. Lines that cannot be read are
-// counted and passed over, so that a file that was cut off, or holds lines of another
-// program, is still of use. Lines of several boxes are put in order of their times;
-// clocks that differ put them out of order by as much.
+// A line consists of key=value pairs, as log/slog writes them. Lines that cannot be parsed
+// are counted and skipped, so that a file that was truncated, or that contains lines of
+// another program, can still be used. Lines of several boxes are sorted by their timestamps;
+// a difference between the clocks of two boxes shifts their lines against each other by the
+// same time.
 //
 // # Usage
 //
 //	set, err := logs.Read(files...)
-//	timeline, err := logs.Explain(set, "00703e97cece6dad") // logs.ErrUnknown: no line has it
+//	timeline, err := logs.Explain(set, "00703e97cece6dad") // logs.ErrUnknownRequest: no line names it
 //	report := logs.NewReport(set)
 //	err = report.WriteSVG(w)
 package logs
--- a/cli/logs/explain.go
+++ b/cli/logs/explain.go
@@ -12,10 +12,10 @@
 	"clovertrail.dev/core/fault"
 )
 
-// ErrUnknownRequest reports that no line has the request.
+// ErrUnknownRequest is the class of the error that no line names the request.
 var ErrUnknownRequest = errs.Class("unknown request")
 
-// Timeline is what happened to one request.
+// Timeline describes the course of one request.
 type Timeline struct {
 	request string
 	lines   []Line
@@ -24,23 +24,24 @@
 	cause   string
 }
 
-// Request is its id.
+// Request returns the id of the request.
 func (t *Timeline) Request() string { return t.request }
 
-// Lines are the lines that have it, in order of time.
+// Lines returns the lines that name the request, in order of time.
 func (t *Timeline) Lines() []Line { return t.lines }
 
-// Box is the entry box that decided about it last.
+// Box returns the entry box that logged the last line of the request.
 func (t *Timeline) Box() string { return t.box }
 
-// Facts are what that box held true as it decided, with the groups concerned.
+// Facts returns the state of that box, and of the groups of the targets tried, at the time
+// of the last line of the request.
 func (t *Timeline) Facts() []Fact { return t.facts }
 
-// Cause describes in a sentence why it ended as it did, as far as the lines show.
+// Cause describes in one sentence why the request ended as it did, as far as the lines show.
 func (t *Timeline) Cause() string { return t.cause }
 
-// Explain follows a request through the lines of all boxes. The error is of ErrUnknown
-// if no line has it.
+// Explain follows a request through the lines of all boxes. It returns an error of class
+// ErrUnknownRequest if no line names the request.
 func Explain(s *Set, request string) (*Timeline, error) {
 	t := &Timeline{request: request}
 	for _, l := range s.lines {
@@ -49,27 +50,28 @@
 		}
 	}
 	if len(t.lines) == 0 {
-		return nil, unknown(s, request)
+		return nil, unknownRequest(s, request)
 	}
 	last := t.lines[len(t.lines)-1]
 	t.box = last.box
 	t.facts = t.factsAt(s, last)
-	t.cause = causeOf(t.lines) + workOf(s, last)
+	t.cause = describeEnd(t.lines) + describeWork(s, last)
 	return t, nil
 }
 
-// clock is how times are named in a sentence.
-const clock = "15:04:05.000"
+// timeFormat is the format of times of day within a sentence.
+const timeFormat = "15:04:05.000"
 
-// unknown reports that no line has the request, and names the boxes that may have taken their
-// news of it with them: a box logs a request as it ends.
-func unknown(s *Set, request string) error {
+// unknownRequest returns the error that no line names the request. It lists the boxes that
+// crashed or fell silent: a box logs a request only when the request ends, so one that was
+// in progress on such a box has no line.
+func unknownRequest(s *Set, request string) error {
 	var boxes []string
 	for _, l := range s.UncleanRestarts() {
-		boxes = append(boxes, l.box+" until "+l.at.Format(clock))
+		boxes = append(boxes, l.box+" until "+l.at.Format(timeFormat))
 	}
 	for _, l := range s.SilentBoxes() {
-		boxes = append(boxes, l.box+", whose last line is of "+l.at.Format(clock))
+		boxes = append(boxes, l.box+", whose last line is of "+l.at.Format(timeFormat))
 	}
 	if len(boxes) == 0 {
 		return ErrUnknownRequest.New("%s is in none of %d lines", request, len(s.lines))
@@ -78,16 +80,17 @@
 		request, len(s.lines), strings.Join(boxes, "; "))
 }
 
-// factsAt replays the lines up to the one that ended the request.
+// factsAt replays all lines up to the time of the request's last line, and returns the facts
+// that are relevant to the request.
 func (t *Timeline) factsAt(s *Set, last Line) []Fact {
-	box, agents := newBoxView(), groups{}
+	box, agents := newBoxState(), groups{}
 	for _, l := range s.lines {
 		if l.at.After(last.at) {
 			break
 		}
-		agents.take(l)
+		agents.apply(l)
 		if l.box == t.box {
-			box.take(l)
+			box.apply(l)
 		}
 	}
 	var targets []string
@@ -99,12 +102,12 @@
 	return box.facts(last.at, agents, last.Get("service"), targets)
 }
 
-// lateFor is the pause between two events that is named as a reason; shorter ones are
-// usual in a group under load.
-const lateFor = 250 * time.Millisecond
+// longPause is the shortest pause between two events that is mentioned in the cause; shorter
+// pauses are usual in a group under load.
+const longPause = 250 * time.Millisecond
 
-// causeOf puts the end of a request into a sentence.
-func causeOf(lines []Line) string {
+// describeEnd describes the end of a request and its failed attempts, given all its lines.
+func describeEnd(lines []Line) string {
 	last := lines[len(lines)-1]
 	var sentence string
 	switch last.msg {
@@ -113,7 +116,7 @@
 		if status := last.Get("status"); status != "" && status != "200" {
 			sentence += " with " + status + ", which is its target's own"
 		}
-		if p := last.Duration("pause"); p >= lateFor {
+		if p := last.Duration("pause"); p >= longPause {
 			sentence += ", with a pause of " + p.Round(time.Millisecond).String() + " between two events"
 		}
 	case "caller left":
@@ -144,20 +147,21 @@
 	return sentence
 }
 
-// workOf reports what became of targets that had the same work up to then, from whichever try of
-// it; empty if none ended.
-func workOf(s *Set, last Line) string {
+// describeWork counts the requests with the same digest in the lines up to the last one of
+// this request, and names the targets that ended while they ran such a request; empty if
+// none ended.
+func describeWork(s *Set, last Line) string {
 	digest := last.Get("digest")
 	if digest == "" {
 		return ""
 	}
-	tries, ended := map[string]bool{}, map[string]bool{}
+	requests, ended := map[string]bool{}, map[string]bool{}
 	for _, l := range s.lines {
 		if l.Get("digest") != digest || l.at.After(last.at) {
 			continue
 		}
 		if id := l.Get("request"); id != "" {
-			tries[id] = true
+			requests[id] = true
 		}
 		if id := l.Get("target"); id != "" && (l.msg == "target ended under work" || l.msg == "work in quarantine") {
 			ended[id] = true
@@ -167,5 +171,5 @@
 		return ""
 	}
 	return fmt.Sprintf("; of its work %d tries are in the lines so far, and under it ended %s",
-		len(tries), strings.Join(slices.Sorted(maps.Keys(ended)), ", "))
+		len(requests), strings.Join(slices.Sorted(maps.Keys(ended)), ", "))
 }
