--- a/cli/logs/limits.go
+++ b/cli/logs/limits.go
@@ -7,111 +7,114 @@
 	"time"
 )
 
-// LimitUsage is what all boxes together sent a target while it named limits.
+// LimitUsage compares the requests that all boxes sent a target with the rate limits that the
+// target announced.
 type LimitUsage struct {
 	target       string
-	spells       []limitSpell
+	periods      []limitPeriod
 	sent, served int
-	most         int
+	peak         int
 }
 
-// limitSpell is a time with one limit.
-type limitSpell struct {
+// limitPeriod is a period during which one limit was in force.
+type limitPeriod struct {
 	perSecond float64
 	from, to  time.Time
 }
 
-// limitWindow is the time of which the largest number of requests is reported.
+// limitWindow is the length of the window over which Peak counts requests.
 const limitWindow = 4 * time.Second
 
-// Target is its id.
-func (l LimitUsage) Target() string { return l.target }
+// Target returns the id of the target.
+func (u LimitUsage) Target() string { return u.target }
 
-// PerSecond is the limit that it named last, in requests a second from all boxes.
-func (l LimitUsage) PerSecond() float64 { return l.spells[len(l.spells)-1].perSecond }
+// PerSecond returns the last limit announced, in requests per second from all boxes together.
+func (u LimitUsage) PerSecond() float64 { return u.periods[len(u.periods)-1].perSecond }
 
-// Allowed is how many requests its limits came to, in the time for which it named them.
-func (l LimitUsage) Allowed() float64 {
+// Allowed returns the number of requests that the limits allowed while they were in force.
+func (u LimitUsage) Allowed() float64 {
 	sum := 0.0
-	for _, x := range l.spells {
-		sum += x.perSecond * x.to.Sub(x.from).Seconds()
+	for _, p := range u.periods {
+		sum += p.perSecond * p.to.Sub(p.from).Seconds()
 	}
 	return sum
 }
 
-// Sent is how many requests it was sent in that time.
-func (l LimitUsage) Sent() int { return l.sent }
+// Sent returns the number of requests sent to the target while a limit was in force.
+func (u LimitUsage) Sent() int { return u.sent }
 
-// Served is how many of them it served.
-func (l LimitUsage) Served() int { return l.served }
+// Served returns how many of the requests sent were answered.
+func (u LimitUsage) Served() int { return u.served }
 
-// Peak is the most that it was sent within four seconds of that time.
-func (l LimitUsage) Peak() int { return l.most }
+// Peak returns the largest number of requests sent within four seconds while a limit was
+// in force.
+func (u LimitUsage) Peak() int { return u.peak }
 
-// LimitUsages are the targets that named limits, in order of their ids.
+// LimitUsages returns the usage of each target that announced limits, in order of target ids.
 func (s *Set) LimitUsages() []LimitUsage {
-	spells := map[string][]limitSpell{}
+	periods := map[string][]limitPeriod{}
 	for _, l := range s.lines {
 		if l.msg == "target limit" {
 			id := l.Get("target")
-			spells[id] = noteLimit(spells[id], l)
+			periods[id] = addLimitReport(periods[id], l)
 		}
 	}
 	var list []LimitUsage
-	for id, of := range spells {
+	for id, of := range periods {
 		if last := &of[len(of)-1]; last.to.IsZero() {
 			last.to = s.lines[len(s.lines)-1].at
 		}
-		x := LimitUsage{target: id, spells: of}
-		x.count(s)
-		list = append(list, x)
+		u := LimitUsage{target: id, periods: of}
+		u.count(s)
+		list = append(list, u)
 	}
 	slices.SortFunc(list, func(a, b LimitUsage) int { return cmp.Compare(a.target, b.target) })
 	return list
 }
 
-// noteLimit adds what a line reports about a target's limit. Boxes notify each other, so that most lines
-// repeat what is known.
-func noteLimit(spells []limitSpell, l Line) []limitSpell {
+// addLimitReport adds a line about the limit of a target to the periods of that target.
+// Boxes notify each other of limits, so most lines repeat the limit in force and change
+// nothing.
+func addLimitReport(periods []limitPeriod, l Line) []limitPeriod {
 	at := l.at.Add(-l.Duration("age"))
 	perSecond, err := strconv.ParseFloat(l.Get("limit"), 64)
-	named := err == nil // else the limit has ended
-	var open *limitSpell
-	if n := len(spells); n > 0 && spells[n-1].to.IsZero() {
-		open = &spells[n-1]
+	limited := err == nil // otherwise the line reports the end of the limit
+	var current *limitPeriod
+	if n := len(periods); n > 0 && periods[n-1].to.IsZero() {
+		current = &periods[n-1]
 	}
-	if open != nil && (!named || open.perSecond != perSecond) {
-		open.to = at
+	if current != nil && (!limited || current.perSecond != perSecond) {
+		current.to = at
 	}
-	if named && (open == nil || open.perSecond != perSecond) {
-		spells = append(spells, limitSpell{perSecond: perSecond, from: at})
+	if limited && (current == nil || current.perSecond != perSecond) {
+		periods = append(periods, limitPeriod{perSecond: perSecond, from: at})
 	}
-	return spells
+	return periods
 }
 
-// count adds up what boxes sent the target.
-func (l *LimitUsage) count(s *Set) {
+// count counts the requests that boxes sent the target while a limit was in force.
+func (u *LimitUsage) count(s *Set) {
 	var times []time.Time
-	for _, line := range s.lines {
-		if line.Get("target") != l.target || line.msg != "request answered" && line.msg != "attempt failed" {
+	for _, l := range s.lines {
+		if l.Get("target") != u.target || l.msg != "request answered" && l.msg != "attempt failed" {
 			continue
 		}
-		at := line.at.Add(-line.Duration("after"))
-		if !slices.ContainsFunc(l.spells, func(x limitSpell) bool { return !at.Before(x.from) && at.Before(x.to) }) {
+		at := l.at.Add(-l.Duration("after"))
+		if !slices.ContainsFunc(u.periods, func(p limitPeriod) bool { return !at.Before(p.from) && at.Before(p.to) }) {
 			continue
 		}
 		times = append(times, at)
-		if line.msg == "request answered" {
-			l.served++
+		if l.msg == "request answered" {
+			u.served++
 		}
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	l.sent = len(times)
+	u.sent = len(times)
 	first := 0
 	for i, at := range times {
 		for at.Sub(times[first]) >= limitWindow {
 			first++
 		}
-		l.most = max(l.most, i-first+1)
+		u.peak = max(u.peak, i-first+1)
 	}
 }
--- a/cli/logs/plot.go
+++ b/cli/logs/plot.go
@@ -15,21 +15,21 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// Size of a drawn report.
+// Dimensions of a plot.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
-	// sketchHeight is in lines of a terminal.
+	// sketchHeight is a number of terminal lines.
 	sketchHeight = 8
 )
 
-// curve is one line of a plot, by second.
+// curve is one line of a plot, with one value for each second.
 type curve struct {
 	name  string
 	value func(Second) float64
 }
 
-// panels are the plots of a report, one above the other.
+// panels lists the plots of a report from top to bottom.
 var panels = []struct {
 	title  string
 	curves []curve
@@ -46,29 +46,30 @@
 	}},
 }
 
-// WriteSVG draws latency, refusals and changes of maps over the span.
+// WriteSVG writes plots of latency, requests and map changes over the span as SVG.
 func (r *Report) WriteSVG(w io.Writer) error {
 	canvas := vgsvg.New(plotWidth, plotHeight*vg.Length(len(panels)))
 	for i, p := range panels {
-		drawn := plot.New()
-		drawn.Title.Text = p.title
-		drawn.X.Label.Text = "seconds"
-		drawn.Y.Min = 0
+		chart := plot.New()
+		chart.Title.Text = p.title
+		chart.X.Label.Text = "seconds"
+		chart.Y.Min = 0
 		var lines []any
 		for _, c := range p.curves {
 			lines = append(lines, c.name, r.points(c))
 		}
-		if err := plotutil.AddLines(drawn, lines...); err != nil {
+		if err := plotutil.AddLines(chart, lines...); err != nil {
 			return fmt.Errorf("plot of %s: %w", p.title, err)
 		}
 		below := plotHeight * vg.Length(len(panels)-1-i)
 		area := draw.Crop(draw.New(canvas), 0, 0, below, below+plotHeight-plotHeight*vg.Length(len(panels)))
-		drawn.Draw(area)
+		chart.Draw(area)
 	}
 	_, err := canvas.WriteTo(w)
 	return err
 }
 
+// points returns the values of a curve; X is the number of seconds since the first line.
 func (r *Report) points(c curve) plotter.XYs {
 	xys := make(plotter.XYs, len(r.seconds))
 	for i, s := range r.seconds {
@@ -77,7 +78,8 @@
 	return xys
 }
 
-// Sketch draws the same for a terminal of so many columns.
+// Sketch renders the plots of WriteSVG as text, each the given number of columns wide. It
+// returns nil if there are no lines.
 func (r *Report) Sketch(columns int) []string {
 	if len(r.seconds) == 0 {
 		return nil
--- a/cli/logs/report.go
+++ b/cli/logs/report.go
@@ -6,104 +6,106 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Count is how often something was logged.
+// Count is the number of log lines with the same outcome.
 type Count struct {
-	what string
-	n    int
+	label string
+	n     int
 }
 
-// Label was counted.
-func (c Count) Label() string { return c.what }
+// Label returns the outcome that was counted.
+func (c Count) Label() string { return c.label }
 
-// N is how often.
+// N returns the number of lines.
 func (c Count) N() int { return c.n }
 
-// Percentiles are of times.
+// Percentiles summarises N durations.
 type Percentiles struct {
 	N                  int
 	P50, P95, P99, Max time.Duration
 }
 
-// Second is what happened within one second of the logs.
+// Second summarises one second of the logs.
 type Second struct {
 	From              time.Time
 	Answered, Refused int
-	MapChanges              int           // changes of maps that came into use
-	FirstByteP95             time.Duration // until answers began, the 95th percentile
+	MapChanges        int           // map changes that were committed
+	FirstByteP95      time.Duration // 95th percentile of the time to the first byte of an answer
 }
 
-// Report is how a stretch of time went, over all boxes.
+// Report summarises the lines of all boxes.
 type Report struct {
 	lines, damaged int
 	from, to       time.Time
-	ends           map[string]int // of requests
-	attempts       map[string]int // failed ones, by how they ended
-	changes        map[string]int // of maps, by how they ended
-	skews          []float64      // as maps were proposed
-	first, pauses  *hdrhistogram.Histogram
+	outcomes       map[string]int // requests by outcome
+	attempts       map[string]int // failed attempts by outcome
+	changes        map[string]int // map changes by outcome
+	skews          []float64      // one for each map proposed
+	firstByte      *hdrhistogram.Histogram
+	pauses         *hdrhistogram.Histogram
 	seconds        []Second
 }
 
-// Bounds of the histograms, in microseconds, with three digits.
+// Bounds of the histograms in microseconds, and their precision in significant decimal digits.
 const (
-	leastMicros = 1
-	mostMicros  = int64(10 * time.Minute / time.Microsecond)
-	digits      = 3
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(leastMicros, mostMicros, digits)
+	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
 }
 
-// NewReport adds up the lines of a set.
+// NewReport summarises the lines of a set.
 func NewReport(s *Set) *Report {
 	r := &Report{
 		lines: len(s.lines), damaged: s.damaged,
-		ends: map[string]int{}, attempts: map[string]int{}, changes: map[string]int{},
-		first: newHistogram(), pauses: newHistogram(),
+		outcomes: map[string]int{}, attempts: map[string]int{}, changes: map[string]int{},
+		firstByte: newHistogram(), pauses: newHistogram(),
 	}
 	if len(s.lines) == 0 {
 		return r
 	}
 	r.from, r.to = s.lines[0].at, s.lines[len(s.lines)-1].at
-	begins := map[int]*hdrhistogram.Histogram{}
+	firstBytes := map[int]*hdrhistogram.Histogram{}
 	r.seconds = make([]Second, int(r.to.Sub(r.from)/time.Second)+1)
 	for i := range r.seconds {
 		r.seconds[i].From = r.from.Add(time.Duration(i) * time.Second)
 	}
 	for _, l := range s.lines {
-		r.add(l, begins)
+		r.add(l, firstBytes)
 	}
-	for i, h := range begins {
-		r.seconds[i].FirstByteP95 = micros(h.ValueAtQuantile(95))
+	for i, h := range firstBytes {
+		r.seconds[i].FirstByteP95 = microseconds(h.ValueAtQuantile(95))
 	}
 	return r
 }
 
-// add counts a line.
-func (r *Report) add(l Line, begins map[int]*hdrhistogram.Histogram) {
+// add counts a line. firstBytes holds a histogram of the time to the first byte for each second
+// of the span that has an answer.
+func (r *Report) add(l Line, firstBytes map[int]*hdrhistogram.Histogram) {
 	at := int(l.at.Sub(r.from) / time.Second)
 	switch l.msg {
 	case "request answered":
-		r.ends["answered"]++
+		r.outcomes["answered"]++
 		r.seconds[at].Answered++
-		record(r.first, l.Duration("first"))
-		if begins[at] == nil {
-			begins[at] = newHistogram()
+		record(r.firstByte, l.Duration("first"))
+		if firstBytes[at] == nil {
+			firstBytes[at] = newHistogram()
 		}
-		record(begins[at], l.Duration("first"))
+		record(firstBytes[at], l.Duration("first"))
 		if p := l.Duration("pause"); p > 0 {
 			record(r.pauses, p)
 		}
 	case "request refused":
-		r.ends["refused as "+l.Get("kind")]++
+		r.outcomes["refused as "+l.Get("kind")]++
 		r.seconds[at].Refused++
 	case "answer broken off":
-		r.ends["broken off as "+l.Get("kind")]++
+		r.outcomes["broken off as "+l.Get("kind")]++
 	case "caller left":
-		r.ends["left by the caller"]++
+		r.outcomes["left by the caller"]++
 	case "attempt failed":
-		r.attempts[endOf(l)]++
+		r.attempts[attemptOutcome(l)]++
 	case "map proposed":
 		r.skews = append(r.skews, l.Number("skew"))
 	case "map change ended":
@@ -114,8 +116,9 @@
 	}
 }
 
+// record adds a duration, limited to the bounds of the histogram.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), leastMicros), mostMicros)) // it is within the bounds
+	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // cannot fail: the value is within the bounds
 }
 
-func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/cli/logs/set.go
+++ b/cli/logs/set.go
@@ -12,7 +12,7 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Line is one line of a box.
+// Line is one parsed log line.
 type Line struct {
 	at     time.Time
 	box    string
@@ -20,19 +20,19 @@
 	fields map[string]string
 }
 
-// At is when the box wrote the line, by its clock.
+// At returns the time at which the box wrote the line, by the clock of the box.
 func (l Line) At() time.Time { return l.at }
 
-// Box is the box that wrote it.
+// Box returns the name of the box that wrote the line.
 func (l Line) Box() string { return l.box }
 
-// Message is the text of the line.
+// Message returns the message of the line.
 func (l Line) Message() string { return l.msg }
 
-// Get is the value of a field; empty if the line has none.
+// Get returns the value of a field, or "" if the line does not have the field.
 func (l Line) Get(key string) string { return l.fields[key] }
 
-// Duration is the value of a field that is a time; 0 if it is not.
+// Duration returns the value of a field as a duration, or 0 if it is absent or not a duration.
 func (l Line) Duration(key string) time.Duration {
 	d, err := time.ParseDuration(l.fields[key])
 	if err != nil {
@@ -41,7 +41,7 @@
 	return d
 }
 
-// Number is the value of a field that is a number; 0 if it is not.
+// Number returns the value of a field as a number, or 0 if it is absent or not a number.
 func (l Line) Number(key string) float64 {
 	n, err := strconv.ParseFloat(l.fields[key], 64)
 	if err != nil {
@@ -50,20 +50,20 @@
 	return n
 }
 
-// Set is lines of any number of boxes in order of time.
+// Set holds the lines of any number of boxes, sorted by time.
 type Set struct {
 	lines   []Line
 	damaged int
 }
 
-// Lines are the lines. They must not be changed.
+// Lines returns the lines. The caller must not modify them.
 func (s *Set) Lines() []Line { return s.lines }
 
-// Damaged is how many lines could not be read.
+// Damaged returns the number of lines that could not be parsed.
 func (s *Set) Damaged() int { return s.damaged }
 
-// UncleanRestarts are the first lines of processes whose box had one before that served requests and
-// did not stop as planned: it was killed, or lost power.
+// UncleanRestarts returns the "started" line of each process whose predecessor on the same box
+// served requests and did not stop as planned: it was killed, or the box lost power.
 func (s *Set) UncleanRestarts() []Line {
 	var list []Line
 	running := map[string]bool{}
@@ -80,12 +80,12 @@
 	return list
 }
 
-// silentFor is after how long without a line a box that served requests is taken to be
-// gone, while others write on. Under load a box ends several requests a second.
-const silentFor = 3 * time.Second
+// silenceTimeout is the time without a line after which a box that served requests counts as
+// silent while other boxes continue to log. Under load a box logs several ended requests a second.
+const silenceTimeout = 3 * time.Second
 
-// SilentBoxes are the last lines of boxes that served requests, did not stop as planned, and
-// wrote nothing more while others did: they went for good, or stand still.
+// SilentBoxes returns the last line of each box that served requests, did not stop as planned,
+// and logged nothing more while others did: it ended and did not restart, or it is frozen.
 func (s *Set) SilentBoxes() []Line {
 	last := map[string]Line{}
 	served := map[string]bool{}
@@ -95,7 +95,7 @@
 	}
 	var list []Line
 	for box, l := range last {
-		if served[box] && s.lines[len(s.lines)-1].at.Sub(l.at) > silentFor {
+		if served[box] && s.lines[len(s.lines)-1].at.Sub(l.at) > silenceTimeout {
 			list = append(list, l)
 		}
 	}
@@ -103,11 +103,11 @@
 	return list
 }
 
-// longestLine is the most bytes of a line that is read: far more than any that
-// clovertrail-node writes, which are under a kilobyte.
-const longestLine = 1 << 20
+// maxLineBytes limits the length of a line; longer lines count as damaged. The lines of
+// clovertrail-node are far shorter, under a kilobyte.
+const maxLineBytes = 1 << 20
 
-// Read reads whole logs. An error is one of a reader.
+// Read reads each log to its end. It fails only if a reader fails.
 func Read(readers ...io.Reader) (*Set, error) {
 	s := &Set{}
 	for _, r := range readers {
@@ -135,6 +135,7 @@
 	}
 }
 
+// add parses a line and adds it to the set, or counts it as damaged.
 func (s *Set) add(raw []byte) {
 	l, ok := parse(raw)
 	if !ok {
@@ -144,9 +145,9 @@
 	s.lines = append(s.lines, l)
 }
 
-// parse reads a line; false if it is damaged or of another program.
+// parse parses a line. It returns false if the line is damaged or was written by another program.
 func parse(raw []byte) (Line, bool) {
-	if len(raw) > longestLine {
+	if len(raw) > maxLineBytes {
 		return Line{}, false
 	}
 	l := Line{fields: map[string]string{}}
