--- a/cli/check.go
+++ b/cli/check.go
@@ -14,14 +14,14 @@
 	"clovertrail.dev/settings"
 )
 
-// checks read the settings of each role.
-var checks = map[string]func(path string) error{
+// settingsChecks maps each role to a function that reads and validates its settings file.
+var settingsChecks = map[string]func(path string) error{
 	"entry": func(path string) error { _, err := settings.Open(path, process.DefaultEntrySettings); return err },
 	"agent": func(path string) error { _, err := settings.Open(path, process.DefaultAgentSettings); return err },
 }
 
 func (a *app) checkCommand() *ucli.Command {
-	roles := strings.Join(slices.Sorted(maps.Keys(checks)), " or ")
+	roles := strings.Join(slices.Sorted(maps.Keys(settingsChecks)), " or ")
 	return &ucli.Command{
 		Name: "check-settings", Usage: "say whether clovertrail-node takes a settings file", ArgsUsage: "FILE",
 		Flags:  []ucli.Flag{&ucli.StringFlag{Name: "role", Value: "entry", Usage: roles}},
@@ -33,7 +33,7 @@
 	if c.Args().Len() != 1 {
 		return usageError{errors.New("want FILE")}
 	}
-	check, ok := checks[c.String("role")]
+	check, ok := settingsChecks[c.String("role")]
 	if !ok {
 		return usageError{fmt.Errorf("no role %q", c.String("role"))}
 	}
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -12,13 +12,14 @@
 	"clovertrail.dev/platform/standin"
 )
 
-const lines = `time=2026-05-31T06:24:03.000Z level=WARN msg="request refused" box=front-1 request=r1 service=s kind=no_target err="none" after=1ms
+const logLines = `time=2026-05-31T06:24:03.000Z level=WARN msg="request refused" box=front-1 request=r1 service=s kind=no_target err="none" after=1ms
 time=2026-05-31T06:24:04.000Z level=INFO msg="request answered" box=front-1 request=r2 target=i-2 events=4 pause=70ms first=90ms after=1.2s
 `
 
 const entrySettings = `{"box": "b", "hall": "h", "callers": "1:1", "ready": "1:2", "peers": "1:3", "store": "1:4"`
 
-func file(t *testing.T, name, text string) string {
+// writeFile writes a file into a temporary folder and returns its path.
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -28,7 +29,7 @@
 }
 
 func TestCommands(t *testing.T) {
-	log := file(t, "a.log", lines)
+	log := writeFile(t, "a.log", logLines)
 	s := standin.NewStore()
 	for kind, spec := range map[string]any{
 		"config/main": standin.Configuration(7, "app", map[string]string{"org": "k"}),
@@ -46,32 +47,32 @@
 	for name, tt := range map[string]struct {
 		args []string
 		code int
-		out  string // that is printed
-		err  string // that is printed as an error
+		out  string // must be contained in the standard output
+		err  string // must be contained in the error output
 	}{
 		"explain":                       {[]string{"explain", "r1", log}, cli.ExitDone, "refused as no_target", ""},
 		"explain an unknown request":    {[]string{"explain", "r9", log}, cli.ExitFailed, "", "unknown request"},
 		"explain without a log":         {[]string{"explain", "r1"}, cli.ExitUsage, "", "want REQUEST LOG"},
-		"explain a file that is absent": {[]string{"explain", "r1", log + "x"}, cli.ExitUsage, "", "no such file"},
+		"explain a missing file":        {[]string{"explain", "r1", log + "x"}, cli.ExitUsage, "", "no such file"},
 		"report":                        {[]string{"report", "--svg", svg, log}, cli.ExitDone, "refused as no_target", ""},
 		"report without a log":          {[]string{"report"}, cli.ExitUsage, "", "want LOG"},
-		"right settings":                {[]string{"check-settings", file(t, "s.json", entrySettings+"}")}, cli.ExitDone, "fine", ""},
-		"wrong settings":                {[]string{"check-settings", file(t, "s.json", entrySettings+",\n\"agent_port\": -1}")}, cli.ExitUsage, "", "s.json:2"},
-		"settings of no role":           {[]string{"check-settings", "--role", "cook", log}, cli.ExitUsage, "", "cook"},
+		"valid settings":                {[]string{"check-settings", writeFile(t, "s.json", entrySettings+"}")}, cli.ExitDone, "fine", ""},
+		"invalid settings":              {[]string{"check-settings", writeFile(t, "s.json", entrySettings+",\n\"agent_port\": -1}")}, cli.ExitUsage, "", "s.json:2"},
+		"unknown role":                  {[]string{"check-settings", "--role", "cook", log}, cli.ExitUsage, "", "cook"},
 		"status":                        {[]string{"status", "--store", address}, cli.ExitDone, "configuration 7", ""},
 		"status of targets":             {[]string{"status", "--store", address}, cli.ExitDone, "leaving", ""},
-		"status without a store":        {[]string{"status", "--store", "127.0.0.1:1"}, cli.ExitFailed, "", "configuration"},
-		"no such flag":                  {[]string{"report", "--paint", log}, cli.ExitUsage, "", "paint"},
+		"status with unreachable store": {[]string{"status", "--store", "127.0.0.1:1"}, cli.ExitFailed, "", "configuration"},
+		"unknown flag":                  {[]string{"report", "--paint", log}, cli.ExitUsage, "", "paint"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out, errOut bytes.Buffer
 			code := cli.Run(t.Context(), append([]string{"clovertrail"}, tt.args...), &out, &errOut)
 			if code != tt.code || !strings.Contains(out.String(), tt.out) || !strings.Contains(errOut.String(), tt.err) {
-				t.Errorf("exit code %d, printed %q and %q", code, out.String(), errOut.String())
+				t.Errorf("got exit code %d, output %q, errors %q; want exit code %d", code, out.String(), errOut.String(), tt.code)
 			}
 		})
 	}
 	if raw, err := os.ReadFile(svg); err != nil || !strings.Contains(string(raw), "<svg") {
-		t.Errorf("the drawing: %d bytes, %v", len(raw), err)
+		t.Errorf("SVG file: got %d bytes, error %v", len(raw), err)
 	}
 }
--- a/cli/doc.go
+++ b/cli/doc.go
@@ -1,10 +1,10 @@
-// Package cli is the operators' command line: what happened to a request (explain), how
-// a stretch of time went (report), what the platform's store holds (status), and whether
-// a settings file is right (check-settings). It reads; what operators change they write
-// to the platform's store.
+// Package cli implements the command line for operators. Its commands show what happened to
+// a request (explain), summarise the logs of a period (report), show the contents of the
+// platform's store (status), and validate a settings file (check-settings). All commands are
+// read-only; operators make changes by writing to the platform's store.
 //
-// Exit codes: 0 done; 1 it could not be done, or the request is in no log; 2 the command
-// line or a file is wrong.
+// Exit codes: 0 success; 1 the command failed, or no log has the request; 2 the command line
+// or a file is invalid.
 //
 // # Usage
 //
--- a/cli/reading.go
+++ b/cli/log_commands.go
@@ -14,8 +14,9 @@
 	"clovertrail.dev/cli/logs"
 )
 
-// sketchColumns is the width of a sketch: with its scale it fits 80 columns.
-const sketchColumns = 68
+// plotColumns is the width of a text plot without its scale; with the scale the plot fits into
+// 80 columns.
+const plotColumns = 68
 
 func (a *app) explainCommand() *ucli.Command {
 	return &ucli.Command{
@@ -44,11 +45,11 @@
 	if err := a.print(factTable(t)); err != nil {
 		return err
 	}
-	return a.damaged(set.Damaged())
+	return a.printDamaged(set.Damaged())
 }
 
-// damaged reports lines that were passed over, if there were any.
-func (a *app) damaged(n int) error {
+// printDamaged prints the number of lines that could not be parsed, if there are any.
+func (a *app) printDamaged(n int) error {
 	if n == 0 {
 		return nil
 	}
@@ -56,8 +57,9 @@
 	return err
 }
 
+// eventTable lists the log lines of a request.
 func eventTable(t *logs.Timeline) table {
-	out := table{head: []string{"TIME", "BOX", "LINE", "TARGET", "DETAILS"}}
+	out := table{header: []string{"TIME", "BOX", "LINE", "TARGET", "DETAILS"}}
 	for _, l := range t.Lines() {
 		details := ""
 		for _, key := range []string{"attempt", "end", "next", "status", "kind", "err", "events", "pause", "first", "after", "config"} {
@@ -70,8 +72,9 @@
 	return out
 }
 
+// factTable lists the state of the box that logged the request last.
 func factTable(t *logs.Timeline) table {
-	out := table{head: []string{"WHAT", "FOR"}}
+	out := table{header: []string{"WHAT", "FOR"}}
 	for _, f := range t.Facts() {
 		out.rows = append(out.rows, []string{f.Text(), f.Age().Round(time.Millisecond).String()})
 	}
@@ -113,14 +116,14 @@
 			return err
 		}
 	}
-	for _, sketch := range r.Sketch(sketchColumns) {
+	for _, sketch := range r.Sketch(plotColumns) {
 		_, _ = fmt.Fprintf(a.out, "\n%s\n", sketch)
 	}
-	return a.damaged(set.Damaged())
+	return a.printDamaged(set.Damaged())
 }
 
 func reportTables(r *logs.Report) []table {
-	latency := table{head: []string{"MS", "P50", "P95", "P99", "MOST", "OF"}}
+	latency := table{header: []string{"MS", "P50", "P95", "P99", "MOST", "OF"}}
 	latency.rows = append(latency.rows, latencyRow("until an answer began", r.FirstByte()), latencyRow("longest pause of a stream", r.StreamPauses()))
 	return []table{
 		countTable("REQUESTS", r.Outcomes()), countTable("FAILED ATTEMPTS", r.FailedAttempts()), countTable("CHANGES OF MAPS", r.MapChanges()),
@@ -128,9 +131,10 @@
 	}
 }
 
-// limitTable sets what targets that named limits were sent beside what they allowed.
+// limitTable compares the requests sent to targets that announced limits with the requests
+// that the limits allowed.
 func limitTable(list []logs.LimitUsage) table {
-	t := table{head: []string{"TARGETS WITH LIMITS", "A SECOND", "ALLOWED", "SENT", "SERVED", "MOST IN 4 S"}}
+	t := table{header: []string{"TARGETS WITH LIMITS", "A SECOND", "ALLOWED", "SENT", "SERVED", "MOST IN 4 S"}}
 	for _, l := range list {
 		t.rows = append(t.rows, []string{
 			l.Target(), strconv.FormatFloat(l.PerSecond(), 'g', 4, 64), strconv.FormatFloat(l.Allowed(), 'f', 0, 64),
@@ -140,14 +144,16 @@
 	return t
 }
 
-func countTable(head string, list []logs.Count) table {
-	t := table{head: []string{head, ""}}
+// countTable lists counts under a heading.
+func countTable(heading string, list []logs.Count) table {
+	t := table{header: []string{heading, ""}}
 	for _, c := range list {
 		t.rows = append(t.rows, []string{c.Label(), strconv.Itoa(c.N())})
 	}
 	return t
 }
 
+// latencyRow formats percentiles in milliseconds, and the number of values.
 func latencyRow(name string, p logs.Percentiles) []string {
 	row := []string{name}
 	for _, d := range []time.Duration{p.P50, p.P95, p.P99, p.Max} {
@@ -176,7 +182,7 @@
 		if err != nil {
 			return nil, usageError{err}
 		}
-		defer func() { _ = f.Close() }() // it was only read
+		defer func() { _ = f.Close() }() // the file was only read
 		readers = append(readers, f)
 	}
 	return logs.Read(readers...)
--- a/cli/run.go
+++ b/cli/run.go
@@ -11,22 +11,23 @@
 	"clovertrail.dev/settings"
 )
 
-// Version is the version of the program.
+// Version is the version of the command-line program.
 const Version = "0.2.0"
 
-// The exit codes.
+// Exit codes.
 const (
 	ExitDone   = 0
-	ExitFailed = 1
-	ExitUsage  = 2
+	ExitFailed = 1 // the command failed, or no log has the request
+	ExitUsage  = 2 // the command line or a settings file is invalid, or a log file cannot be opened
 )
 
-// app is what the commands share.
+// app holds the output writer that all commands share.
 type app struct {
 	out io.Writer
 }
 
-// usageError marks a mistake in the command line or a file.
+// usageError marks an error in the command line, or a log file that could not be opened; the
+// exit code is ExitUsage.
 type usageError struct{ error }
 
 // Run runs the command line and returns the exit code.
@@ -39,6 +40,7 @@
 	return exitCode(err)
 }
 
+// exitCode returns the exit code for an error of a command.
 func exitCode(err error) int {
 	var usage usageError
 	var file *settings.Error
@@ -55,15 +57,17 @@
 func (a *app) command(errOut io.Writer) *ucli.Command {
 	commands := []*ucli.Command{a.explainCommand(), a.reportCommand(), a.statusCommand(), a.checkCommand()}
 	for _, c := range commands {
-		c.OnUsageError = usage
+		c.OnUsageError = wrapUsageError
 	}
 	return &ucli.Command{
 		Name: "clovertrail", Usage: "look into a clovertrail that runs, or ran", Version: Version,
 		EnableShellCompletion: true, Writer: a.out, ErrWriter: errOut,
-		ExitErrHandler: func(context.Context, *ucli.Command, error) {}, // Run reports
-		OnUsageError:   usage,
+		ExitErrHandler: func(context.Context, *ucli.Command, error) {}, // Run prints the error
+		OnUsageError:   wrapUsageError,
 		Commands:       commands,
 	}
 }
 
-func usage(_ context.Context, _ *ucli.Command, err error, _ bool) error { return usageError{err} }
+func wrapUsageError(_ context.Context, _ *ucli.Command, err error, _ bool) error {
+	return usageError{err}
+}
--- a/cli/status.go
+++ b/cli/status.go
@@ -12,8 +12,9 @@
 	"clovertrail.dev/store"
 )
 
-// statusWithin bounds the calls to the store, which answers in milliseconds.
-const statusWithin = 5 * time.Second
+// statusTimeout limits the duration of both calls to the store together; the store answers in
+// milliseconds.
+const statusTimeout = 5 * time.Second
 
 func (a *app) statusCommand() *ucli.Command {
 	return &ucli.Command{
@@ -26,14 +27,14 @@
 }
 
 func (a *app) status(ctx context.Context, c *ucli.Command) error {
-	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	feed := platform.NewStore(c.String("store"), http.DefaultClient, nil)
-	configs, err := feed.List(ctx, platform.Configurations)
+	platformStore := platform.NewStore(c.String("store"), http.DefaultClient, nil)
+	configs, err := platformStore.List(ctx, platform.Configurations)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	targets, err := feed.List(ctx, platform.Targets)
+	targets, err := platformStore.List(ctx, platform.Targets)
 	if err != nil {
 		return fmt.Errorf("targets: %w", err)
 	}
@@ -47,7 +48,7 @@
 		}
 		_, _ = fmt.Fprintf(a.out, "configuration %d, revision %d\n\n", d.Version(), r.At.Revision())
 	}
-	t := table{head: []string{"TARGET", "SERVICE", "HALL", "STATE", "ADDRESS", "GROUP", "RANK"}}
+	t := table{header: []string{"TARGET", "SERVICE", "HALL", "STATE", "ADDRESS", "GROUP", "RANK"}}
 	for _, r := range targets.Records {
 		row, err := targetRow(r)
 		if err != nil {
@@ -58,6 +59,7 @@
 	return a.print(t)
 }
 
+// targetRow decodes the record of a target into a row of the status table.
 func targetRow(r store.Record) ([]string, error) {
 	t, err := platform.DecodeTarget(r)
 	if err != nil {
