--- a/cli/doc.go
+++ b/cli/doc.go
@@ -4,7 +4,7 @@
 // read-only; operators make changes by writing to the platform's store.
 //
 // Exit codes: 0 success; 1 the command failed, or no log has the request; 2 the command line
-// or a file is invalid.
+// or a settings file is invalid, or a log file cannot be opened.
 //
 // # Usage
 //
--- a/cli/log_commands.go
+++ b/cli/log_commands.go
@@ -14,9 +14,9 @@
 	"clovertrail.dev/cli/logs"
 )
 
-// plotColumns is the width of a text plot without its scale; with the scale the plot fits into
+// textPlotColumns is the width of a text plot without its scale; with the scale the plot fits into
 // 80 columns.
-const plotColumns = 68
+const textPlotColumns = 68
 
 func (a *app) explainCommand() *ucli.Command {
 	return &ucli.Command{
@@ -116,8 +116,8 @@
 			return err
 		}
 	}
-	for _, sketch := range r.Sketch(plotColumns) {
-		_, _ = fmt.Fprintf(a.out, "\n%s\n", sketch)
+	for _, textPlot := range r.TextPlots(textPlotColumns) {
+		_, _ = fmt.Fprintf(a.out, "\n%s\n", textPlot)
 	}
 	return a.printDamaged(set.Damaged())
 }
--- a/cli/logs/logs_test.go
+++ b/cli/logs/logs_test.go
@@ -160,15 +160,15 @@
 	if err := r.WriteSVG(&svg); err != nil || !strings.Contains(svg.String(), "changes of maps a second") {
 		t.Errorf("got %d bytes of SVG, error %v", svg.Len(), err)
 	}
-	if got := r.Sketch(40); len(got) != 3 || !strings.Contains(got[1], "requests a second") {
-		t.Errorf("got sketches %q", got)
+	if got := r.TextPlots(40); len(got) != 3 || !strings.Contains(got[1], "requests a second") {
+		t.Errorf("got text plots %q", got)
 	}
 }
 
 func TestReportOfEmptyLogIsEmpty(t *testing.T) {
 	r := logs.NewReport(read(t, ""))
-	if n, _ := r.Lines(); n != 0 || r.Sketch(40) != nil {
-		t.Errorf("got %d lines, sketches %q", n, r.Sketch(40))
+	if n, _ := r.Lines(); n != 0 || r.TextPlots(40) != nil {
+		t.Errorf("got %d lines, text plots %q", n, r.TextPlots(40))
 	}
 }
 
--- a/cli/logs/plot.go
+++ b/cli/logs/plot.go
@@ -19,8 +19,8 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
-	// sketchHeight is a number of terminal lines.
-	sketchHeight = 8
+	// textPlotHeight is a number of terminal lines.
+	textPlotHeight = 8
 )
 
 // curve is one line of a plot, with one value for each second.
@@ -78,9 +78,9 @@
 	return xys
 }
 
-// Sketch renders the plots of WriteSVG as text, each the given number of columns wide. It
+// TextPlots renders the plots of WriteSVG as text, each the given number of columns wide. It
 // returns nil if there are no lines.
-func (r *Report) Sketch(columns int) []string {
+func (r *Report) TextPlots(columns int) []string {
 	if len(r.seconds) == 0 {
 		return nil
 	}
@@ -94,7 +94,7 @@
 			}
 			series = append(series, values)
 		}
-		out = append(out, asciigraph.PlotMany(series, asciigraph.Height(sketchHeight), asciigraph.Width(columns),
+		out = append(out, asciigraph.PlotMany(series, asciigraph.Height(textPlotHeight), asciigraph.Width(columns),
 			asciigraph.Precision(0), asciigraph.LowerBound(0), asciigraph.Caption(p.title)))
 	}
 	return out
