--- a/cli/logs/limits.go
+++ b/cli/logs/limits.go
@@ -60,11 +60,11 @@
 		}
 	}
 	var list []LimitUsage
-	for id, of := range periods {
-		if last := &of[len(of)-1]; last.to.IsZero() {
+	for id, ps := range periods {
+		if last := &ps[len(ps)-1]; last.to.IsZero() {
 			last.to = s.lines[len(s.lines)-1].at
 		}
-		u := LimitUsage{target: id, periods: of}
+		u := LimitUsage{target: id, periods: ps}
 		u.count(s)
 		list = append(list, u)
 	}
