--- a/node/entry.go
+++ b/node/entry.go
@@ -49,7 +49,7 @@
 }
 
 // NewEntry returns the process. now gives its settings as they are now; those that
-// change while it runs are put in force by Took.
+// change while it runs are put in force by ApplySettings.
 func NewEntry(c telemetry.Common, n process.Network, now func() process.EntrySettings) *Entry {
 	s := now()
 	e := &Entry{common: c, network: n, settings: now, budgets: newBudgets(s.Bounds), ready: &readiness{}}
--- a/node/reload.go
+++ b/node/reload.go
@@ -15,10 +15,10 @@
 	return p
 }
 
-// Took puts changed settings in force, as far as that is possible without a
+// ApplySettings puts changed settings in force, as far as that is possible without a
 // start: bounds and seeds. Addresses, names and the pace of watches count from the
 // next start.
-func (e *Entry) Took(s process.EntrySettings) {
+func (e *Entry) ApplySettings(s process.EntrySettings) {
 	e.budgets.setBounds(s.Bounds)
 	e.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		r.SetPolicy(rosterPolicy(s))
