--- a/node/main.go
+++ b/node/main.go
@@ -98,7 +98,7 @@
 	}
 	p := newLoaded(f.Current().Box)
 	e := NewEntry(p.common, process.MachineNetwork(), f.Current)
-	p.woken = e.Woken
+	p.woken = e.CatchUpAfterSuspension
 	p.process, p.watch = e, func(signal <-chan struct{}) { f.Watch(p.common.Log, signal, e.ApplySettings) }
 	return p, nil
 }
--- a/node/suspended.go
+++ b/node/suspended.go
@@ -18,5 +18,5 @@
 	p.woken()
 }
 
-// Woken makes the box look at once for what it missed while its machine was suspended.
-func (e *Entry) Woken() { e.peering.notify() }
+// CatchUpAfterSuspension makes the box look at once for what it missed while its machine was suspended.
+func (e *Entry) CatchUpAfterSuspension() { e.peering.notify() }
