--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -80,7 +80,7 @@
 func (d *delivery) try(ctx context.Context, t retry.Try) retry.Command {
 	now := clock.Now()
 	// Checked before each attempt: work that ended the target of one attempt must not reach another.
-	if until, barred := d.g.deps.Quarantine.Barred(now, d.req.digest); barred {
+	if until, barred := d.g.deps.Quarantine.QuarantinedUntil(now, d.req.digest); barred {
 		return d.course.Barred(now, fault.New(fault.Quarantined, "targets ended under this work").RetryAt(until))
 	}
 	lease, err := d.g.deps.Fleet.Acquire(ctx, now, Query{
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -267,7 +267,7 @@
 	served   int
 }
 
-func (q *quarantine) Barred(now time.Time, _ call.Digest) (time.Time, bool) {
+func (q *quarantine) QuarantinedUntil(now time.Time, _ call.Digest) (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return now.Add(2 * time.Minute), q.barAfter > 0 && len(q.ended) >= q.barAfter
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -106,8 +106,8 @@
 
 // Quarantine holds the work that must not be sent to targets, because targets ended under it.
 type Quarantine interface {
-	// Barred reports whether the work must not be sent now, and until when.
-	Barred(now time.Time, work call.Digest) (until time.Time, barred bool)
+	// QuarantinedUntil reports whether the work must not be sent now, and until when.
+	QuarantinedUntil(now time.Time, work call.Digest) (until time.Time, barred bool)
 	// TargetEnded records that the target's process ended while it had the work.
 	TargetEnded(now time.Time, work call.Digest, id domain.InstanceID)
 	// WorkServed records that the work was served.
--- a/node/quarantining.go
+++ b/node/quarantining.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Barred implements gateway.Quarantine.
-func (q *quarantining) Barred(now time.Time, d call.Digest) (time.Time, bool) {
+// QuarantinedUntil implements gateway.Quarantine.
+func (q *quarantining) QuarantinedUntil(now time.Time, d call.Digest) (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.register.QuarantinedUntil(now, d)
