--- a/node/adverts.go
+++ b/node/adverts.go
@@ -35,7 +35,7 @@
 		Self: contactOf(p.self, 0), Hall: domain.HallName(p.entry.settings().Hall), Leaving: p.entry.gateway.Stopping(),
 		Config: own.Config, Targets: own.Targets, News: news,
 		FailureReports: failureReports, Leavers: leavers, Works: works,
-		Limits: limits, Blank: !p.briefed,
+		Limits: limits, Blank: !p.hasAllLimits,
 	}
 	if limited {
 		a.Share = p.share(now, apart)
@@ -43,7 +43,7 @@
 	if news {
 		return a
 	}
-	for c, ago := range p.boxes.PeersToAdvertise(now, passOnMost, passOnFew) {
+	for c, ago := range p.boxes.PeersToAdvertise(now, maxAdvertised, maxAdvertisedOld) {
 		a.Known = append(a.Known, contactOf(c, ago))
 	}
 	return a
@@ -146,5 +146,5 @@
 	for _, c := range a.Known {
 		p.boxes.ReceiveIndirect(now, contactFrom(c), c.Ago)
 	}
-	p.noteBehind(now, own)
+	p.trackBehind(now, own)
 }
--- a/node/watching.go
+++ b/node/agent_poller.go
@@ -34,22 +34,22 @@
 	watchPauseMost = time.Second
 )
 
-// watching asks the agents of model engines how these do, and sends them who else
+// agentPoller asks the agents of model engines how these do, and sends them who else
 // is in their group. What it learns it keeps for boxes of other data halls, which pass
 // it of theirs (surveying).
-type watching struct {
+type agentPoller struct {
 	entry     *Entry
 	mesh      *mesh.Client
 	agents    map[domain.InstanceID]context.CancelFunc
-	surveying *surveying
+	surveying *hallPoller
 }
 
-func newWatching(e *Entry) *watching {
-	return &watching{entry: e, mesh: e.mesh, agents: map[domain.InstanceID]context.CancelFunc{}, surveying: e.surveying}
+func newAgentPoller(e *Entry) *agentPoller {
+	return &agentPoller{entry: e, mesh: e.mesh, agents: map[domain.InstanceID]context.CancelFunc{}, surveying: e.hallPoller}
 }
 
 // run keeps one loop for each agent that this box asks.
-func (w *watching) run(ctx context.Context) {
+func (w *agentPoller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.update(ctx)
 		clock.SleepUntil(ctx, clock.Now().Add(watchEvery))
@@ -58,7 +58,7 @@
 
 // update starts and ends the loops: a box that learns of a target from others keeps none,
 // so that a hundred boxes do not each wake twice a second for each of 200 targets.
-func (w *watching) update(ctx context.Context) {
+func (w *agentPoller) update(ctx context.Context) {
 	w.surveying.takeRole(ctx)
 	var ranks []domain.Target
 	w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { ranks = r.Ranks() })
@@ -83,7 +83,7 @@
 }
 
 // watch asks the agent beside one target until ctx ends.
-func (w *watching) watch(ctx context.Context, id domain.InstanceID) {
+func (w *agentPoller) watch(ctx context.Context, id domain.InstanceID) {
 	update := telling.NewGroupUpdate(rand.Float64())
 	pause := watchEvery
 	for ctx.Err() == nil {
@@ -104,11 +104,11 @@
 
 // askers are how many boxes ask the agent, this one included: the boxes of its hall, or
 // its hubs, or all boxes where it is of another hall.
-func (w *watching) askers(id domain.InstanceID) int {
+func (w *agentPoller) askers(id domain.InstanceID) int {
 	hall := domain.HallName(w.entry.settings().Hall)
 	switch {
 	case w.hallOf(id) != hall:
-		boxes, _ := w.entry.peering.inTouch()
+		boxes, _ := w.entry.peering.reachable()
 		return boxes
 	case w.surveying.is(membership.Hub):
 		return membership.HubsPerHall
@@ -122,14 +122,14 @@
 	return watchEvery * time.Duration(max(boxes, watchersUsual)) / watchersUsual
 }
 
-func (w *watching) hallOf(id domain.InstanceID) domain.HallName {
+func (w *agentPoller) hallOf(id domain.InstanceID) domain.HallName {
 	var t domain.Target
 	w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { t, _ = r.Get(id) })
 	return t.Hall()
 }
 
 // ask asks the agent, and tells it of its group if its answer shows that this is due.
-func (w *watching) ask(ctx context.Context, id domain.InstanceID, u *telling.GroupUpdate) error {
+func (w *agentPoller) ask(ctx context.Context, id domain.InstanceID, u *telling.GroupUpdate) error {
 	address, epoch, ok := w.agent(id)
 	if !ok {
 		return nil
@@ -161,7 +161,7 @@
 
 // otherStart takes that the engine is not the start that was asked about. A later one has
 // taken its place, and gets work once the list names it; an earlier one reports nothing.
-func (w *watching) otherStart(id domain.InstanceID, born domain.Born) {
+func (w *agentPoller) otherStart(id domain.InstanceID, born domain.Born) {
 	w.entry.common.Log.Warn("report of another start of the target, waiting for the list", "target", id, "born", born)
 	if born > id.Born() {
 		w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.Replaced(id) })
@@ -169,7 +169,7 @@
 }
 
 // put asks the agent at the address.
-func (w *watching) put(ctx context.Context, address string, q *mesh.WatchQuery) (*mesh.RankReport, error) {
+func (w *agentPoller) put(ctx context.Context, address string, q *mesh.WatchQuery) (*mesh.RankReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchWithin)
 	defer cancel()
 	return mesh.Call[mesh.WatchQuery, mesh.RankReport](ctx, w.mesh, address, mesh.Watch, q)
@@ -183,7 +183,7 @@
 }
 
 // agent is the address of the target's agent, and the epoch of its group as listed.
-func (w *watching) agent(id domain.InstanceID) (string, orders.Epoch, bool) {
+func (w *agentPoller) agent(id domain.InstanceID) (string, orders.Epoch, bool) {
 	var target domain.Target
 	var known bool
 	w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { target, known = r.Get(id) })
@@ -199,9 +199,9 @@
 const helpersNear = 8
 
 // helpers are this box and some others of its hall.
-func (w *watching) helpers() []string {
+func (w *agentPoller) helpers() []string {
 	list := []string{w.entry.settings().Peers}
-	for _, c := range w.entry.peering.in(domain.HallName(w.entry.settings().Hall)) {
+	for _, c := range w.entry.peering.inHall(domain.HallName(w.entry.settings().Hall)) {
 		if len(list) <= helpersNear {
 			list = append(list, c.Address)
 		}
@@ -211,7 +211,7 @@
 
 // groupUpdate is the question to the agent with what it cannot find out by itself: the members
 // of its group, if all are listed in one epoch, and who hands orders on for it.
-func (w *watching) groupUpdate(id domain.InstanceID) *mesh.WatchQuery {
+func (w *agentPoller) groupUpdate(id domain.InstanceID) *mesh.WatchQuery {
 	var target domain.Target
 	var news []membership.TargetUpdate
 	w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
@@ -240,8 +240,8 @@
 	return q
 }
 
-// agentOf is the address of the agent on the target's box.
-func agentOf(t domain.Target, port int) string {
+// agentAddress is the address of the agent on the target's box.
+func agentAddress(t domain.Target, port int) string {
 	host, _, err := net.SplitHostPort(t.Address())
 	if err != nil {
 		host = t.Address()
@@ -250,10 +250,12 @@
 }
 
 // agentOf is the address of the agent on the target's box.
-func (w *watching) agentOf(t domain.Target) string { return agentOf(t, w.entry.settings().AgentPort) }
+func (w *agentPoller) agentOf(t domain.Target) string {
+	return agentAddress(t, w.entry.settings().AgentPort)
+}
 
 // shape is that of the maps of the service's groups; nil if it has none.
-func (w *watching) shape(svc domain.ServiceName) *rebalance.Shape {
+func (w *agentPoller) shape(svc domain.ServiceName) *rebalance.Shape {
 	c := w.entry.gateway.Catalog()
 	if c == nil {
 		return nil
@@ -268,7 +270,7 @@
 	}
 }
 
-func (w *watching) take(id domain.InstanceID, r *mesh.RankReport) {
+func (w *agentPoller) take(id domain.InstanceID, r *mesh.RankReport) {
 	now := clock.Now()
 	own := domain.Rank{Group: r.Group, Epoch: uint64(r.State.Epoch), Number: r.Rank, Size: r.Size, Open: r.State.Open}
 	w.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
--- a/node/entry.go
+++ b/node/entry.go
@@ -27,25 +27,25 @@
 
 // Entry is the process of an entry box.
 type Entry struct {
-	common    telemetry.Common
-	network   process.Network
-	settings  func() process.EntrySettings // as they are now
-	fleet     *fleet
-	view      *view
-	budgets   *budgets
-	pool      *transport.Pool
-	gateway   *gateway.Gateway
-	ready     *readiness
-	mesh      *mesh.Client
-	engines   *http.Client // for orders that are handed on
-	peering   *peering
-	surveying *surveying
+	common     telemetry.Common
+	network    process.Network
+	settings   func() process.EntrySettings // as they are now
+	fleet      *fleet
+	view       *view
+	budgets    *budgets
+	pool       *transport.Pool
+	gateway    *gateway.Gateway
+	ready      *readiness
+	mesh       *mesh.Client
+	engines    *http.Client // for orders that are handed on
+	peering    *peering
+	hallPoller *hallPoller
 
-	quarantine *quarantining
+	quarantine *quarantineSync
 	timeline   *timeline
 	limiting   *limiting
 
-	standings map[domain.InstanceID]membership.Standing // as they were last logged; judge's own
+	standings map[domain.InstanceID]membership.Standing // as they were last logged; checkReadiness's own
 }
 
 // NewEntry returns the process. now gives its settings as they are now; those that
@@ -58,7 +58,7 @@
 	e.mesh = mesh.NewClient(n.Dial)
 	e.engines = process.HTTPClient(n)
 	e.timeline = &timeline{common: c}
-	e.quarantine = newQuarantining(c,
+	e.quarantine = newQuarantineSync(c,
 		func() { e.peering.notify() },
 		func() bool { return e.peering.isolated(clock.Now()) },
 		func() store.Era { return e.timeline.latest().Era() })
@@ -67,12 +67,12 @@
 		Quarantine: e.quarantine,
 	})
 	e.peering = newPeering(e)
-	e.fleet.letDown, e.fleet.ejected, e.fleet.witness = e.peering.notify, e.noteEjected, e.witness
-	e.fleet.left = e.noteLeft
+	e.fleet.letDown, e.fleet.ejected, e.fleet.witness = e.peering.notify, e.onTargetEjected, e.witness
+	e.fleet.left = e.onTargetLeaving
 	e.limiting = newLimiting(e)
 	e.fleet.limited, e.fleet.permits = e.limiting.named, e.limiting.permits
-	e.surveying = newSurveying(e)
-	e.view = &view{common: c, fleet: e.fleet, adopt: e.adopt, moved: e.peering.notify}
+	e.hallPoller = newHallPoller(e)
+	e.view = &view{common: c, fleet: e.fleet, adopt: e.adopt, changed: e.peering.notify}
 	return e
 }
 
@@ -80,9 +80,9 @@
 // agent on its box, or another entry box of its hall; empty if there is none.
 func (e *Entry) witness(t domain.Target) string {
 	if _, ranked := t.Rank(); ranked && e.settings().AgentPort > 0 {
-		return agentOf(t, e.settings().AgentPort)
+		return agentAddress(t, e.settings().AgentPort)
 	}
-	for _, c := range e.peering.in(t.Hall()) {
+	for _, c := range e.peering.inHall(t.Hall()) {
 		return c.Address
 	}
 	return ""
@@ -118,16 +118,16 @@
 	}
 	go e.peering.run(ctx)
 	e.common.Log.Info("started", "hall", e.settings().Hall, "callers", e.settings().Callers, "peers", e.settings().Peers, "store", e.settings().Store)
-	kept := completing{
-		RecordStore: platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.stated),
+	kept := eraStore{
+		RecordStore: platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.observeEra),
 		timeline:    e.timeline,
 	}
 	e.follow(ctx, kept)
 	go e.quarantine.run(ctx, kept, e.settings().FirstStart)
 	go e.sweep(ctx)
-	go e.judge(ctx)
+	go e.checkReadiness(ctx)
 	if e.settings().AgentPort > 0 {
-		go newWatching(e).run(ctx)
+		go newAgentPoller(e).run(ctx)
 	}
 	select {
 	case <-leave:
@@ -139,7 +139,7 @@
 
 func (e *Entry) follow(ctx context.Context, feed store.Feed) {
 	configuration, targets := e.followConfiguration(feed), e.followTargets(feed)
-	e.surveying.follows(func() bool { return configuration.well.Load() && targets.well.Load() })
+	e.hallPoller.setStoreHealthy(func() bool { return configuration.healthy.Load() && targets.healthy.Load() })
 	go configuration.run(ctx)
 	go targets.run(ctx)
 }
--- a/node/surveying.go
+++ b/node/hall_poller.go
@@ -24,12 +24,12 @@
 	toldFor = time.Second
 )
 
-// surveying learns from other entry boxes how targets do: of each other data hall from one
+// hallPoller learns from other entry boxes how targets do: of each other data hall from one
 // box there, or in a hall with hubs of all halls from one of these. It notifies others what it
 // heard (membership.HallReporters and membership.RoleOf decide whom to ask).
 //
 // Lock order: mu, then the fleet's.
-type surveying struct {
+type hallPoller struct {
 	entry     *Entry
 	sightings *telling.Sightings
 
@@ -42,15 +42,15 @@
 	halls     map[domain.HallName]bool // that are followed
 }
 
-func newSurveying(e *Entry) *surveying {
-	return &surveying{
+func newHallPoller(e *Entry) *hallPoller {
+	return &hallPoller{
 		entry: e, sightings: telling.NewSightings(),
 		outlook: membership.NewHallReporters(domain.HallName(e.settings().Hall)), halls: map[domain.HallName]bool{},
 	}
 }
 
 // survey implements mesh.Survey.
-func (s *surveying) survey(_ context.Context, q *mesh.HallQuery) (*mesh.HallReport, error) {
+func (s *hallPoller) survey(_ context.Context, q *mesh.HallQuery) (*mesh.HallReport, error) {
 	r := s.sightings.Latest(clock.Now(), q.All)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,8 +58,8 @@
 	return r, nil
 }
 
-// follows sets how to find out whether this box follows the store and is answered.
-func (s *surveying) follows(well func() bool) {
+// setStoreHealthy sets how to find out whether this box setStoreHealthy the store and is answered.
+func (s *hallPoller) setStoreHealthy(well func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storeWell = well
@@ -72,29 +72,29 @@
 // followers are how many boxes follow the store, and the place of this one among them:
 // the hubs of all halls where there are any, so that one of them soon notices a watch that
 // was silently dropped, else all boxes.
-func (s *surveying) followers() (boxes, place int) {
+func (s *hallPoller) followers() (boxes, place int) {
 	s.mu.Lock()
 	role, at := s.role, s.place
 	halls := slices.Sorted(maps.Keys(s.halls))
 	s.mu.Unlock()
 	if role != membership.Hub {
-		return s.entry.peering.inTouch()
+		return s.entry.peering.reachable()
 	}
 	hall := max(slices.Index(halls, s.hall()), 0)
 	return membership.HubsPerHall * len(halls), hall*membership.HubsPerHall + at
 }
 
 // hubFollows reports that a hub of the hall follows the store for this box.
-func (s *surveying) hubFollows() bool {
+func (s *hallPoller) hubFollows() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.role == membership.Follower && clock.Since(s.hubAt) < hubFor
 }
 
 // takeRole looks what this box is to its hall now.
-func (s *surveying) takeRole(ctx context.Context) {
+func (s *hallPoller) takeRole(ctx context.Context) {
 	hall := s.hall()
-	self, others := domain.BoxID(s.entry.settings().Box), s.entry.peering.in(hall)
+	self, others := domain.BoxID(s.entry.settings().Box), s.entry.peering.inHall(hall)
 	role := membership.RoleOf(self, others)
 	s.mu.Lock()
 	before := s.role
@@ -107,17 +107,17 @@
 	s.follow(ctx, hall)
 }
 
-func (s *surveying) hall() domain.HallName { return domain.HallName(s.entry.settings().Hall) }
+func (s *hallPoller) hall() domain.HallName { return domain.HallName(s.entry.settings().Hall) }
 
 // is reports whether this box has the role.
-func (s *surveying) is(r membership.Role) bool {
+func (s *hallPoller) is(r membership.Role) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.role == r
 }
 
 // asked are the targets that this box is to ask itself.
-func (s *surveying) asked(ranks []domain.Target) map[domain.InstanceID]bool {
+func (s *hallPoller) asked(ranks []domain.Target) map[domain.InstanceID]bool {
 	now, old := clock.Now(), s.old()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,29 +132,29 @@
 
 // every is the time between two questions about a hall. Where halls have hubs these ask,
 // else all boxes, though not the same one.
-func (s *surveying) every() time.Duration {
+func (s *hallPoller) every() time.Duration {
 	s.mu.Lock()
 	role, halls := s.role, len(s.halls)
 	s.mu.Unlock()
 	if role != membership.Standalone {
 		return everyAmong(membership.HubsPerHall * halls)
 	}
-	boxes, _ := s.entry.peering.inTouch()
+	boxes, _ := s.entry.peering.reachable()
 	return everyAmong(boxes)
 }
 
 // old is how old another box's report may be: in a hall with hubs it comes by way of two
 // boxes after that which received it.
-func (s *surveying) old() time.Duration { return max(toldFor, 2*(watchEvery+s.every())) }
+func (s *hallPoller) old() time.Duration { return max(toldFor, 2*(watchEvery+s.every())) }
 
-func (s *surveying) forget(keep func(domain.InstanceID) bool) {
+func (s *hallPoller) forget(keep func(domain.InstanceID) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outlook.Forget(keep)
 }
 
 // follow keeps one loop for each hall that has targets.
-func (s *surveying) follow(ctx context.Context, hall domain.HallName) {
+func (s *hallPoller) follow(ctx context.Context, hall domain.HallName) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.halls[hall] {
@@ -164,7 +164,7 @@
 	go s.run(ctx, hall)
 }
 
-func (s *surveying) run(ctx context.Context, hall domain.HallName) {
+func (s *hallPoller) run(ctx context.Context, hall domain.HallName) {
 	for ctx.Err() == nil {
 		pause := s.every()
 		if s.surveys(hall) {
@@ -177,7 +177,7 @@
 }
 
 // surveys reports whether this box is to ask another about the hall now.
-func (s *surveying) surveys(hall domain.HallName) bool {
+func (s *hallPoller) surveys(hall domain.HallName) bool {
 	old := s.old()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,8 +185,8 @@
 }
 
 // ask asks one box of the hall, if any is in touch.
-func (s *surveying) ask(ctx context.Context, hall domain.HallName) {
-	there := membership.HubsOf(s.entry.peering.in(hall))
+func (s *hallPoller) ask(ctx context.Context, hall domain.HallName) {
+	there := membership.HubsOf(s.entry.peering.inHall(hall))
 	s.mu.Lock()
 	box, ok := s.outlook.Choose(hall, there)
 	s.mu.Unlock()
@@ -204,7 +204,7 @@
 	s.take(hall, box.Box, report)
 }
 
-func (s *surveying) failed(hall domain.HallName, box domain.BoxID, err error) {
+func (s *hallPoller) failed(hall domain.HallName, box domain.BoxID, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.outlook.Failed(hall, box) {
@@ -213,7 +213,7 @@
 }
 
 // take hands on what the box received, as of when it received it.
-func (s *surveying) take(hall domain.HallName, box domain.BoxID, r *mesh.HallReport) {
+func (s *hallPoller) take(hall domain.HallName, box domain.BoxID, r *mesh.HallReport) {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/limiting.go
+++ b/node/limiting.go
@@ -192,7 +192,7 @@
 
 // issue hands out permits as the issuer of the service.
 func (l *limiting) issue(now time.Time, svc domain.ServiceName, reports []ratelimit.Report) ratelimit.Grant {
-	heard, sharing := l.entry.peering.part(now)
+	heard, sharing := l.entry.peering.issuerShare(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.allocator.Issue(now, svc, wants(reports), ratelimit.Share(heard, sharing))
@@ -200,7 +200,7 @@
 
 // own hands out permits by this box's own part.
 func (l *limiting) own(now time.Time, svc domain.ServiceName, reports []ratelimit.Report) ratelimit.Grant {
-	_, sharing := l.entry.peering.part(now)
+	_, sharing := l.entry.peering.issuerShare(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.allocator.IssueFallback(now, svc, wants(reports), ratelimit.Share(1, sharing))
--- a/node/peering.go
+++ b/node/peering.go
@@ -26,10 +26,10 @@
 	// meetMost is how many boxes are told in a round. With more boxes than that news
 	// spreads over a few rounds; each box sends the same whatever their number.
 	meetMost = 8
-	// passOnMost is how many other boxes an advert names, and passOnFew how many of them
+	// maxAdvertised is how many other boxes an advert names, and maxAdvertisedOld how many of them
 	// are not new. A box hears a few dozen adverts a second, so that even of hundreds of
 	// boxes each is learned of within the time in which it counts.
-	passOnMost, passOnFew = 16, 2
+	maxAdvertised, maxAdvertisedOld = 16, 2
 	// seedEvery is the time between two looks at a seed by a box that knows others: it
 	// joins parts of the system that lost each other.
 	seedEvery = 5 * time.Second
@@ -48,15 +48,15 @@
 	self  membership.Contact
 	kick  chan struct{}
 
-	mu      sync.Mutex
-	boxes   *membership.Boxes
-	calling map[string]bool
-	life    *membership.IncarnationTracker
-	behind  time.Time
-	seedAt  time.Time
-	allAt   time.Time // of the last round in which all works in quarantine were told
-	shared  int
-	briefed bool // a box that has run for a while has told this one all limits
+	mu           sync.Mutex
+	boxes        *membership.Boxes
+	calling      map[string]bool
+	life         *membership.IncarnationTracker
+	behind       time.Time
+	seedAt       time.Time
+	allAt        time.Time // of the last round in which all works in quarantine were told
+	shared       int
+	hasAllLimits bool // a box that has run for a while has told this one all limits
 }
 
 func newPeering(e *Entry) *peering {
@@ -74,9 +74,9 @@
 	}
 }
 
-// inTouch is how many boxes send each other news now, this one included, and the place
+// reachable is how many boxes send each other news now, this one included, and the place
 // of this one among them.
-func (p *peering) inTouch() (boxes, place int) {
+func (p *peering) reachable() (boxes, place int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.boxes.Reachable(clock.Now())
@@ -89,18 +89,18 @@
 	return p.boxes.Issuer(now, svc, p.entry.gateway.Stopping())
 }
 
-// part is how many boxes this one counts as an issuer, and how many share limits.
-func (p *peering) part(now time.Time) (heard, sharing int) {
+// issuerShare is how many boxes this one counts as an issuer, and how many share limits.
+func (p *peering) issuerShare(now time.Time) (heard, sharing int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.boxes.IssuerShare(now)
 }
 
 // near is how many boxes of the hall, this one included, are in touch.
-func (p *peering) near(hall domain.HallName) int { return 1 + len(p.in(hall)) }
+func (p *peering) near(hall domain.HallName) int { return 1 + len(p.inHall(hall)) }
 
-// in are the other boxes of the hall that are in touch.
-func (p *peering) in(hall domain.HallName) []membership.Contact {
+// inHall are the other boxes of the hall that are inHall touch.
+func (p *peering) inHall(hall domain.HallName) []membership.Contact {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.boxes.InHall(clock.Now(), hall)
@@ -127,7 +127,7 @@
 	mux := mesh.NewMux()
 	mesh.Handle(mux, mesh.Meet, p.meet)
 	mesh.Handle(mux, mesh.Pull, p.pull)
-	mesh.Handle(mux, mesh.Survey, p.entry.surveying.survey)
+	mesh.Handle(mux, mesh.Survey, p.entry.hallPoller.survey)
 	mesh.Handle(mux, mesh.Permit, p.entry.limiting.permit)
 	mesh.Handle(mux, mesh.Command, p.entry.command)
 	mesh.Handle(mux, mesh.Deal, p.entry.deal)
@@ -225,7 +225,7 @@
 func (p *peering) noteBriefed(reply *mesh.Advert) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.briefed = p.briefed || reply.Share != nil && reply.Share.Settled
+	p.hasAllLimits = p.hasAllLimits || reply.Share != nil && reply.Share.Settled
 }
 
 // outlive makes this process later than the one of this box that another box remembers.
@@ -238,8 +238,8 @@
 	}
 }
 
-// noteBehind keeps since when this box is behind; mu is held.
-func (p *peering) noteBehind(now time.Time, own membership.StoreProgress) {
+// trackBehind keeps since when this box is behind; mu is held.
+func (p *peering) trackBehind(now time.Time, own membership.StoreProgress) {
 	switch behind := p.boxes.Behind(own); {
 	case !behind:
 		p.behind = time.Time{}
@@ -254,7 +254,7 @@
 	now := clock.Now()
 	own := p.level()
 	p.mu.Lock()
-	p.noteBehind(now, own)
+	p.trackBehind(now, own)
 	c, ok := p.boxes.ChoosePullPeer(now, own, p.behind)
 	p.mu.Unlock()
 	if ok {
--- a/node/quarantining.go
+++ b/node/quarantine_sync.go
@@ -18,12 +18,12 @@
 	"clovertrail.dev/telemetry"
 )
 
-// quarantining guards what the box knows of works under which targets ended, notifies other boxes
+// quarantineSync guards what the box knows of works under which targets ended, notifies other boxes
 // and keeps it in the store: all boxes may die at once, and must not send such work again
 // then. It implements gateway.Quarantine.
 //
 // Lock order: mu is the only lock, and no I/O is done under it.
-type quarantining struct {
+type quarantineSync struct {
 	common telemetry.Common
 	news   func()           // makes this box notify others at once
 	apart  func() bool      // reports that this box hears no other hall, so that only the store tells it
@@ -51,32 +51,32 @@
 	sourceStore = "store"
 )
 
-func newQuarantining(c telemetry.Common, news func(), apart func() bool, era func() store.Era) *quarantining {
-	return &quarantining{
+func newQuarantineSync(c telemetry.Common, news func(), apart func() bool, era func() store.Era) *quarantineSync {
+	return &quarantineSync{
 		common: c, news: news, apart: apart, era: era, register: quarantine.NewRegister(),
 		rewriter: quarantine.NewReconciler(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), wake: make(chan struct{}, 1),
 	}
 }
 
 // QuarantinedUntil implements gateway.Quarantine.
-func (q *quarantining) QuarantinedUntil(now time.Time, d call.Digest) (time.Time, bool) {
+func (q *quarantineSync) QuarantinedUntil(now time.Time, d call.Digest) (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.register.QuarantinedUntil(now, d)
 }
 
 // TargetEnded implements gateway.Quarantine.
-func (q *quarantining) TargetEnded(now time.Time, d call.Digest, id domain.InstanceID) {
+func (q *quarantineSync) TargetEnded(now time.Time, d call.Digest, id domain.InstanceID) {
 	q.take(now, quarantine.Observation{Digest: d, Target: id, At: now}, sourceOwn)
 }
 
 // WorkServed implements gateway.Quarantine.
-func (q *quarantining) WorkServed(now time.Time, d call.Digest) {
+func (q *quarantineSync) WorkServed(now time.Time, d call.Digest) {
 	q.take(now, quarantine.Observation{Digest: d, At: now}, sourceOwn)
 }
 
 // take takes a report from the source, logs what it changes, and sees to it that others are notified.
-func (q *quarantining) take(now time.Time, w quarantine.Observation, source string) {
+func (q *quarantineSync) take(now time.Time, w quarantine.Observation, source string) {
 	q.mu.Lock()
 	change := q.register.Observe(now, w)
 	q.note(now, w, change, source)
@@ -91,7 +91,7 @@
 }
 
 // note logs and counts what an observation changed; mu is held.
-func (q *quarantining) note(now time.Time, w quarantine.Observation, change quarantine.Change, source string) {
+func (q *quarantineSync) note(now time.Time, w quarantine.Observation, change quarantine.Change, source string) {
 	attrs := []any{"digest", w.Digest, "target", w.Target, "ended", q.register.EndedTargets(w.Digest), "age", now.Sub(w.At), "source", source}
 	switch change {
 	case quarantine.Unchanged:
@@ -120,14 +120,14 @@
 }
 
 // receive takes what another box sent.
-func (q *quarantining) receive(now time.Time, observations []mesh.WorkObservation, source string) {
+func (q *quarantineSync) receive(now time.Time, observations []mesh.WorkObservation, source string) {
 	for _, w := range observations {
 		q.take(now, quarantine.Observation{Digest: w.Digest, Target: w.Target, At: now.Add(-w.Ago)}, source)
 	}
 }
 
 // observations is what other boxes are sent, and with all, what they may have missed.
-func (q *quarantining) observations(now time.Time, all bool) []mesh.WorkObservation {
+func (q *quarantineSync) observations(now time.Time, all bool) []mesh.WorkObservation {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var list []mesh.WorkObservation
@@ -138,7 +138,7 @@
 }
 
 // keep has the store keep what this box found out of the work; mu is held.
-func (q *quarantining) keep(d call.Digest) {
+func (q *quarantineSync) keep(d call.Digest) {
 	if len(q.unkept) >= unkeptMost {
 		q.common.Log.Error("quarantine not stored, too many wait for the store", "digest", d, "waiting", len(q.unkept))
 		return
@@ -151,7 +151,7 @@
 }
 
 // record is what the store is to keep of the work; mu is held.
-func (q *quarantining) record(d call.Digest) quarantine.Record {
+func (q *quarantineSync) record(d call.Digest) quarantine.Record {
 	observations := q.register.Observations(d)
 	for i := range observations {
 		observations[i].At = clock.TimeOfDay(observations[i].At)
@@ -161,7 +161,7 @@
 
 // run reads what the store keeps, and keeps there what this box finds out, until ctx ends. As
 // the whole system starts for the first time there is nothing to read.
-func (q *quarantining) run(ctx context.Context, s store.RecordStore, first bool) {
+func (q *quarantineSync) run(ctx context.Context, s store.RecordStore, first bool) {
 	loaded := first
 	look := time.NewTicker(lookEvery)
 	defer look.Stop()
@@ -180,7 +180,7 @@
 }
 
 // toCompare reports whether the store was restored and may have lost what this box knows.
-func (q *quarantining) toCompare() bool {
+func (q *quarantineSync) toCompare() bool {
 	now, era := clock.Now(), q.era()
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -196,7 +196,7 @@
 }
 
 // compare has what the restored store has lost written again. names are those of its records.
-func (q *quarantining) compare(now time.Time, names map[string]bool) {
+func (q *quarantineSync) compare(now time.Time, names map[string]bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.rewriter.Due(now) {
@@ -213,7 +213,7 @@
 
 // load takes what the store keeps, and reports whether it answered. What is over there is taken
 // away: nothing else does.
-func (q *quarantining) load(ctx context.Context, s store.RecordStore) bool {
+func (q *quarantineSync) load(ctx context.Context, s store.RecordStore) bool {
 	l, err := s.List(ctx, platform.Quarantines)
 	q.called("list", err)
 	if err != nil {
@@ -240,7 +240,7 @@
 }
 
 // next is the record that waits longest.
-func (q *quarantining) next() (quarantine.Record, bool) {
+func (q *quarantineSync) next() (quarantine.Record, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.unkept) == 0 {
@@ -250,7 +250,7 @@
 }
 
 // keepAll keeps the records that wait, until the store fails.
-func (q *quarantining) keepAll(ctx context.Context, s store.RecordStore) {
+func (q *quarantineSync) keepAll(ctx context.Context, s store.RecordStore) {
 	for next, ok := q.next(); ok; next, ok = q.next() {
 		spec, err := json.Marshal(next)
 		if err == nil {
@@ -270,7 +270,7 @@
 }
 
 // called counts a call to the store, and logs one that failed.
-func (q *quarantining) called(call string, err error) {
+func (q *quarantineSync) called(call string, err error) {
 	name := call + " " + string(platform.Quarantines)
 	if err == nil {
 		q.common.Metrics.Count(telemetry.PlatformCalls, name, 1)
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -47,20 +47,20 @@
 	e.standings = standings
 }
 
-// noteEjected logs that a target is out of use as several boxes report failures of it.
-func (e *Entry) noteEjected(id domain.InstanceID) {
+// onTargetEjected logs that a target is out of use as several boxes report failures of it.
+func (e *Entry) onTargetEjected(id domain.InstanceID) {
 	e.common.Metrics.Count(telemetry.Ejections, "failure reports", 1)
 	e.common.Log.Warn("target ejected, several boxes report failures", "target", id)
 }
 
-// noteLeft logs that a target reports that it is leaving, and notifies other boxes at once.
-func (e *Entry) noteLeft(id domain.InstanceID, source string) {
+// onTargetLeaving logs that a target reports that it is leaving, and notifies other boxes at once.
+func (e *Entry) onTargetLeaving(id domain.InstanceID, source string) {
 	e.common.Log.Info("target announced that it is leaving", "target", id, "source", source)
 	e.peering.notify()
 }
 
-// judge keeps the readiness until ctx ends.
-func (e *Entry) judge(ctx context.Context) {
+// checkReadiness keeps the readiness until ctx ends.
+func (e *Entry) checkReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := clock.Now()
 		stranded := (e.peering.isolated(now) || e.fleet.cutOff(now)) && e.fleet.wanting(now)
--- a/node/following.go
+++ b/node/record_follower.go
@@ -17,8 +17,8 @@
 	"clovertrail.dev/telemetry"
 )
 
-// following follows one kind of record in the store and hands on what it brings.
-type following struct {
+// recordFollower follows one kind of record in the store and hands on what it brings.
+type recordFollower struct {
 	common    telemetry.Common
 	feed      store.Feed
 	kind      store.Kind
@@ -32,7 +32,7 @@
 	known     func() store.Position     // up to which the kind is known here, from whomever
 	era       func() store.Era          // the latest that this box has learned of
 	wasLost   bool
-	well      atomic.Bool // the store answered last
+	healthy   atomic.Bool // the store answered last
 }
 
 // settleSlack is how much later than the roster has settled the targets are listed once more.
@@ -69,7 +69,7 @@
 }
 
 // run follows until ctx ends.
-func (f *following) run(ctx context.Context) {
+func (f *recordFollower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		boxes, place := f.among()
 		f.follower.SetPeers(boxes, place)
@@ -87,7 +87,7 @@
 	}
 }
 
-func (f *following) list(ctx context.Context) {
+func (f *recordFollower) list(ctx context.Context) {
 	began := clock.Now()
 	l, err := f.feed.List(ctx, f.kind)
 	f.called("list", began, err)
@@ -97,7 +97,7 @@
 	}
 }
 
-func (f *following) watch(ctx context.Context, w follow.Watch) {
+func (f *recordFollower) watch(ctx context.Context, w follow.Watch) {
 	began := clock.Now()
 	watching, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -121,7 +121,7 @@
 
 // limitWait gives a watch up that was to wait long since many boxes share the watching, once
 // too few of them are left: nobody would notify this box that it was silently dropped.
-func (f *following) limitWait(given <-chan struct{}, cancel context.CancelFunc, began time.Time) {
+func (f *recordFollower) limitWait(given <-chan struct{}, cancel context.CancelFunc, began time.Time) {
 	look := time.NewTicker(checkEvery)
 	defer look.Stop()
 	for {
@@ -139,7 +139,7 @@
 }
 
 // called counts a call, and logs when the store is lost or answers again.
-func (f *following) called(call string, began time.Time, err error) {
+func (f *recordFollower) called(call string, began time.Time, err error) {
 	name := call + " " + string(f.kind)
 	f.common.Metrics.Observe(telemetry.StoreCalls, name, clock.Since(began))
 	if err != nil {
@@ -148,7 +148,7 @@
 		f.common.Metrics.Count(telemetry.PlatformCalls, name, 1)
 	}
 	lost := err != nil && !isHistoryLost(err)
-	f.well.Store(!lost)
+	f.healthy.Store(!lost)
 	if lost {
 		f.lost()
 	}
@@ -158,7 +158,7 @@
 	}
 }
 
-func (f *following) logState(lost bool, err error) {
+func (f *recordFollower) logState(lost bool, err error) {
 	if lost {
 		f.common.Log.Warn("store lost", "kind", f.kind, "known_to", f.follower.Position(), "err", err)
 		return
@@ -167,7 +167,7 @@
 }
 
 // followConfiguration follows the operator's configuration.
-func (e *Entry) followConfiguration(feed store.Feed) *following {
+func (e *Entry) followConfiguration(feed store.Feed) *recordFollower {
 	take := func(r store.Record) {
 		if r.Name == platform.Configuration {
 			e.view.configuration(r.Spec, r.At, "store")
@@ -195,7 +195,7 @@
 }
 
 // followTargets follows the list of targets.
-func (e *Entry) followTargets(feed store.Feed) *following {
+func (e *Entry) followTargets(feed store.Feed) *recordFollower {
 	f := e.following(feed, platform.Targets)
 	f.listed = func(l store.Listing) {
 		events := make([]store.Event, 0, len(l.Records))
@@ -220,7 +220,7 @@
 	return f
 }
 
-func (e *Entry) following(feed store.Feed, kind store.Kind) *following {
+func (e *Entry) following(feed store.Feed, kind store.Kind) *recordFollower {
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	p := pace(e.settings().Bounds)
 	if e.settings().FirstStart {
@@ -230,9 +230,9 @@
 		p.ChangePause = 0 // it seldom changes, and is to be in force at once
 		p.RelistDelay = 0 // its version orders it
 	}
-	return &following{
+	return &recordFollower{
 		pace:   p,
-		common: e.common, feed: feed, kind: kind, among: e.surveying.followers, delegated: e.surveying.hubFollows,
+		common: e.common, feed: feed, kind: kind, among: e.hallPoller.followers, delegated: e.hallPoller.hubFollows,
 		follower: follow.New(p, rnd), era: func() store.Era { return e.timeline.latest().Era() },
 	}
 }
--- a/node/suspended.go
+++ b/node/suspended.go
@@ -7,8 +7,8 @@
 	"clovertrail.dev/telemetry"
 )
 
-// suspended reports that the machine was suspended, or that this cannot be found out.
-func (p *loaded) suspended(d time.Duration, err error) {
+// onSuspended reports that the machine was onSuspended, or that this cannot be found out.
+func (p *loaded) onSuspended(d time.Duration, err error) {
 	if err != nil {
 		p.common.Log.Error("clocks not read, suspensions of the machine go unnoticed", "err", err)
 		return
--- a/node/timeline.go
+++ b/node/timeline.go
@@ -27,8 +27,8 @@
 	return t.known.Latest()
 }
 
-// stated takes the era of an answer of the store.
-func (t *timeline) stated(era store.Era) {
+// observeEra takes the era of an answer of the store.
+func (t *timeline) observeEra(era store.Era) {
 	t.mu.Lock()
 	accepted := t.known.Accept(era)
 	known := t.known.Latest()
@@ -59,14 +59,14 @@
 // errEraDoubted is the error for an answer whose era was not accepted; the call is made again.
 var errEraDoubted = errors.Join(store.ErrUnavailable, errors.New("the era of the answer is not confirmed"))
 
-// completing is the store with complete positions in its answers.
-type completing struct {
+// eraStore is the store with complete positions in its answers.
+type eraStore struct {
 	store.RecordStore
 	timeline *timeline
 }
 
 // List implements store.Feed.
-func (c completing) List(ctx context.Context, kind store.Kind) (store.Listing, error) {
+func (c eraStore) List(ctx context.Context, kind store.Kind) (store.Listing, error) {
 	sent := c.timeline.latest()
 	l, err := c.RecordStore.List(ctx, kind)
 	if err != nil {
@@ -81,7 +81,7 @@
 }
 
 // Watch implements store.Feed.
-func (c completing) Watch(ctx context.Context, kind store.Kind, since store.Position, wait time.Duration) (store.Changes, error) {
+func (c eraStore) Watch(ctx context.Context, kind store.Kind, since store.Position, wait time.Duration) (store.Changes, error) {
 	changes, err := c.RecordStore.Watch(ctx, kind, since, wait)
 	if err != nil {
 		return changes, err
--- a/node/view.go
+++ b/node/view.go
@@ -19,10 +19,10 @@
 //
 // Lock order: mu, then the fleet's.
 type view struct {
-	common telemetry.Common
-	fleet  *fleet
-	adopt  func(*catalog.Catalog) // called with each newer configuration
-	moved  func()                 // called after news of any kind
+	common  telemetry.Common
+	fleet   *fleet
+	adopt   func(*catalog.Catalog) // called with each newer configuration
+	changed func()                 // called after news of any kind
 
 	mu     sync.Mutex
 	holder catalog.Holder
@@ -43,7 +43,7 @@
 		v.common.Metrics.Set(telemetry.ConfigSeq, "", float64(c.Version()))
 		v.common.Log.Info("configuration in force", "version", c.Version(), "at", at, "source", source, "before", before.Version)
 		v.adopt(c)
-		v.moved()
+		v.changed()
 	case !bytes.Equal(raw, v.holder.Raw()):
 		v.common.Log.Warn("configuration ignored, a later one is in force", "at", at, "source", source, "in_force", before.Version)
 	}
@@ -88,7 +88,7 @@
 
 func (v *view) logNews(fresh []membership.TargetUpdate, source string) {
 	if len(fresh) > 0 {
-		v.moved()
+		v.changed()
 	}
 	for _, n := range fresh {
 		if n.Target == nil {
