--- a/node/agent_poller.go
+++ b/node/agent_poller.go
@@ -19,79 +19,80 @@
 )
 
 const (
-	// watchEvery is the time between two questions to an agent: a few steps, and less
-	// than a request takes, so that loads are known while they still hold.
-	watchEvery = 200 * time.Millisecond
-	// watchersUsual is how many boxes may ask an agent that often. Where more do, each
-	// asks less often, so that an agent has as many to answer.
-	watchersUsual = 12
-	// watchWithin bounds a question to an agent.
-	watchWithin = 400 * time.Millisecond
-	// othersMost is how many agents of other groups an agent is told: enough that one
-	// of them answers. They are of the highest ranks, since the lowest coordinate.
-	othersMost = 4
-	// watchPauseMost bounds the pause after questions that were not answered.
-	watchPauseMost = time.Second
+	// agentPollInterval is the time between two requests of this box to an agent: a few steps of
+	// the engine, and less than a request takes, so that reported loads are still valid when used.
+	agentPollInterval = 200 * time.Millisecond
+	// fullRatePollers is how many boxes may query an agent at that interval. If there are more,
+	// each queries it less often, so that the total rate at the agent stays the same.
+	fullRatePollers = 12
+	// agentPollTimeout bounds a request to an agent.
+	agentPollTimeout = 400 * time.Millisecond
+	// otherGroupAgents is how many agents of other groups an agent is sent: enough that one of
+	// them answers. They are those of the highest ranks, because the lowest ranks coordinate.
+	otherGroupAgents = 4
+	// maxAgentPollPause bounds the pause after requests that failed.
+	maxAgentPollPause = time.Second
 )
 
-// agentPoller asks the agents of model engines how these do, and sends them who else
-// is in their group. What it learns it keeps for boxes of other data halls, which pass
-// it of theirs (surveying).
+// agentPoller queries the agents of model engines for the status of their engines, and sends them
+// the members of their groups. It stores the statuses for the entry boxes of other data halls,
+// which in turn report the targets of theirs (hallPoller).
 type agentPoller struct {
-	entry     *Entry
-	mesh      *mesh.Client
-	agents    map[domain.InstanceID]context.CancelFunc
-	surveying *hallPoller
+	entry  *Entry
+	mesh   *mesh.Client
+	agents map[domain.InstanceID]context.CancelFunc // of the agents with a running poll loop
+	halls  *hallPoller
 }
 
 func newAgentPoller(e *Entry) *agentPoller {
-	return &agentPoller{entry: e, mesh: e.mesh, agents: map[domain.InstanceID]context.CancelFunc{}, surveying: e.hallPoller}
+	return &agentPoller{entry: e, mesh: e.mesh, agents: map[domain.InstanceID]context.CancelFunc{}, halls: e.hallPoller}
 }
 
-// run keeps one loop for each agent that this box asks.
+// run runs a poll loop for each agent that this box queries, until ctx ends.
 func (w *agentPoller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.update(ctx)
-		clock.SleepUntil(ctx, clock.Now().Add(watchEvery))
+		w.updateLoops(ctx)
+		clock.SleepUntil(ctx, clock.Now().Add(agentPollInterval))
 	}
 }
 
-// update starts and ends the loops: a box that learns of a target from others keeps none,
-// so that a hundred boxes do not each wake twice a second for each of 200 targets.
-func (w *agentPoller) update(ctx context.Context) {
-	w.surveying.takeRole(ctx)
+// updateLoops starts and stops poll loops. There is no loop for a target whose status this box
+// receives from others, so that a hundred boxes do not each wake twice a second for each of 200
+// targets.
+func (w *agentPoller) updateLoops(ctx context.Context) {
+	w.halls.updateRole(ctx)
 	var ranks []domain.Target
 	w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { ranks = r.Ranks() })
 	listed := map[domain.InstanceID]bool{}
-	asked := w.surveying.asked(ranks)
+	polled := w.halls.targetsToPoll(ranks)
 	for _, t := range ranks {
 		listed[t.ID()] = true
-		w.surveying.follow(ctx, t.Hall())
-		if _, known := w.agents[t.ID()]; !known && asked[t.ID()] {
+		w.halls.startLoop(ctx, t.Hall())
+		if _, running := w.agents[t.ID()]; !running && polled[t.ID()] {
 			actx, cancel := context.WithCancel(ctx)
 			w.agents[t.ID()] = cancel
-			go w.watch(actx, t.ID())
+			go w.poll(actx, t.ID())
 		}
 	}
 	for id, cancel := range w.agents {
-		if !asked[id] {
+		if !polled[id] {
 			cancel()
 			delete(w.agents, id)
 		}
 	}
-	w.surveying.forget(func(id domain.InstanceID) bool { return listed[id] })
+	w.halls.forget(func(id domain.InstanceID) bool { return listed[id] })
 }
 
-// watch asks the agent beside one target until ctx ends.
-func (w *agentPoller) watch(ctx context.Context, id domain.InstanceID) {
+// poll queries the agent of one target until ctx ends.
+func (w *agentPoller) poll(ctx context.Context, id domain.InstanceID) {
 	update := telling.NewGroupUpdate(rand.Float64())
-	pause := watchEvery
+	pause := agentPollInterval
 	for ctx.Err() == nil {
-		askers := w.askers(id)
-		usual := everyAmong(askers)
-		update.Among(askers)
-		if err := w.ask(ctx, id, update); err != nil {
-			pause = max(min(pause*2, watchPauseMost), usual)
+		pollers := w.pollers(id)
+		usual := pollInterval(pollers)
+		update.Among(pollers)
+		if err := w.query(ctx, id, update); err != nil {
+			pause = max(min(pause*2, maxAgentPollPause), usual)
 		} else {
 			pause = usual
 		}
@@ -102,24 +103,25 @@
 	}
 }
 
-// askers are how many boxes ask the agent, this one included: the boxes of its hall, or
-// its hubs, or all boxes where it is of another hall.
-func (w *agentPoller) askers(id domain.InstanceID) int {
+// pollers returns how many boxes query the target's agent, including this one: the boxes of its
+// hall, or the hubs of its hall, or all boxes if the agent is in another hall.
+func (w *agentPoller) pollers(id domain.InstanceID) int {
 	hall := domain.HallName(w.entry.settings().Hall)
 	switch {
 	case w.hallOf(id) != hall:
 		boxes, _ := w.entry.peering.reachable()
 		return boxes
-	case w.surveying.is(membership.Hub):
+	case w.halls.hasRole(membership.Hub):
 		return membership.HubsPerHall
 	default:
-		return w.entry.peering.near(hall)
+		return w.entry.peering.countInHall(hall)
 	}
 }
 
-// everyAmong is the time between two questions of a box to one that so many ask.
-func everyAmong(boxes int) time.Duration {
-	return watchEvery * time.Duration(max(boxes, watchersUsual)) / watchersUsual
+// pollInterval returns the time between two requests of one box to a receiver that so many boxes
+// query.
+func pollInterval(boxes int) time.Duration {
+	return agentPollInterval * time.Duration(max(boxes, fullRatePollers)) / fullRatePollers
 }
 
 func (w *agentPoller) hallOf(id domain.InstanceID) domain.HallName {
@@ -128,26 +130,27 @@
 	return t.Hall()
 }
 
-// ask asks the agent, and tells it of its group if its answer shows that this is due.
-func (w *agentPoller) ask(ctx context.Context, id domain.InstanceID, u *telling.GroupUpdate) error {
+// query queries the target's agent, and sends it the members of its group if the response shows
+// that they are due.
+func (w *agentPoller) query(ctx context.Context, id domain.InstanceID, u *telling.GroupUpdate) error {
 	address, epoch, ok := w.agent(id)
 	if !ok {
 		return nil
 	}
-	report, err := w.put(ctx, address, &mesh.WatchQuery{Epoch: epoch})
+	report, err := w.send(ctx, address, &mesh.WatchQuery{Epoch: epoch})
 	if err != nil {
-		if boxSilent(err) {
+		if hostUnresponsive(err) {
 			w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.Unreachable(clock.Now(), id) })
-			w.surveying.sightings.Missed(id)
+			w.halls.statuses.Missed(id)
 		}
 		return err
 	}
 	if !id.Speaks(report.Born) {
-		w.otherStart(id, report.Born)
+		w.handleOtherInstance(id, report.Born)
 		return nil
 	}
-	w.surveying.sightings.Saw(clock.Now(), id, report)
-	w.take(id, report)
+	w.halls.statuses.Saw(clock.Now(), id, report)
+	w.applyReport(id, report)
 	if report.Leaving {
 		w.entry.fleet.leaves(clock.Now(), id, "agent")
 	}
@@ -155,34 +158,35 @@
 	if !u.Due(clock.Now(), epoch) {
 		return nil
 	}
-	_, err = w.put(ctx, address, w.groupUpdate(id))
+	_, err = w.send(ctx, address, w.groupUpdate(id))
 	return err
 }
 
-// otherStart takes that the engine is not the start that was asked about. A later one has
-// taken its place, and gets work once the list names it; an earlier one reports nothing.
-func (w *agentPoller) otherStart(id domain.InstanceID, born domain.Born) {
-	w.entry.common.Log.Warn("report of another start of the target, waiting for the list", "target", id, "born", born)
+// handleOtherInstance handles a report of another start of the engine than the one queried. A later
+// start has replaced the queried one, and receives work once the list of targets has it; the report
+// of an earlier start is ignored.
+func (w *agentPoller) handleOtherInstance(id domain.InstanceID, born domain.Born) {
+	w.entry.common.Log.Warn("agent reported another start of the engine than the listed one, waiting for the list of targets", "target", id, "born", born)
 	if born > id.Born() {
 		w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.Replaced(id) })
 	}
 }
 
-// put asks the agent at the address.
-func (w *agentPoller) put(ctx context.Context, address string, q *mesh.WatchQuery) (*mesh.RankReport, error) {
-	ctx, cancel := context.WithTimeout(ctx, watchWithin)
+// send sends the request to the agent at the address and returns its report.
+func (w *agentPoller) send(ctx context.Context, address string, q *mesh.WatchQuery) (*mesh.RankReport, error) {
+	ctx, cancel := context.WithTimeout(ctx, agentPollTimeout)
 	defer cancel()
 	return mesh.Call[mesh.WatchQuery, mesh.RankReport](ctx, w.mesh, address, mesh.Watch, q)
 }
 
-// boxSilent reports that nothing at all came back from the box: not even a refusal of
-// the connection, as from a box on which only the agent is down.
-func boxSilent(err error) bool {
+// hostUnresponsive reports whether the target's box did not respond at all: a box on which only the
+// agent is down would at least refuse the connection.
+func hostUnresponsive(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial" && op.Timeout()
 }
 
-// agent is the address of the target's agent, and the epoch of its group as listed.
+// agent returns the address of the target's agent, and the listed epoch of its group.
 func (w *agentPoller) agent(id domain.InstanceID) (string, orders.Epoch, bool) {
 	var target domain.Target
 	var known bool
@@ -191,47 +195,47 @@
 	if !known || !grouped {
 		return "", 0, false
 	}
-	return w.agentOf(target), orders.Epoch(own.Epoch), true
+	return w.agentAddress(target), orders.Epoch(own.Epoch), true
 }
 
-// helpersNear is how many entry boxes of this hall an agent is sent as helpers: orders
-// for a group of a hundred ranks are handed out by a few at once.
-const helpersNear = 8
+// maxHallForwarders is how many other entry boxes of this hall an agent is sent as forwarders: a few
+// of them together send the orders for a group of a hundred ranks.
+const maxHallForwarders = 8
 
-// helpers are this box and some others of its hall.
-func (w *agentPoller) helpers() []string {
+// forwarders returns the addresses of this box and of some others of its hall.
+func (w *agentPoller) forwarders() []string {
 	list := []string{w.entry.settings().Peers}
 	for _, c := range w.entry.peering.inHall(domain.HallName(w.entry.settings().Hall)) {
-		if len(list) <= helpersNear {
+		if len(list) <= maxHallForwarders {
 			list = append(list, c.Address)
 		}
 	}
 	return list
 }
 
-// groupUpdate is the question to the agent with what it cannot find out by itself: the members
-// of its group, if all are listed in one epoch, and who hands orders on for it.
+// groupUpdate returns a request with what the agent cannot find out by itself: the members of its
+// group, if all are listed in one epoch, and the processes that forward orders for it.
 func (w *agentPoller) groupUpdate(id domain.InstanceID) *mesh.WatchQuery {
 	var target domain.Target
-	var news []membership.TargetUpdate
+	var updates []membership.TargetUpdate
 	w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		target, _ = r.Get(id)
-		news = r.All()
+		updates = r.All()
 	})
 	own, _ := target.Rank()
-	q := &mesh.WatchQuery{Epoch: orders.Epoch(own.Epoch), Shape: w.shape(target.Service()), Helpers: w.helpers()}
+	q := &mesh.WatchQuery{Epoch: orders.Epoch(own.Epoch), Shape: w.mapShape(target.Service()), Helpers: w.forwarders()}
 	entries := len(q.Helpers)
-	for _, n := range news {
-		r, ok := n.Target.Rank()
+	for _, u := range updates {
+		r, ok := u.Target.Rank()
 		switch {
-		case !ok || n.Target.Service() != target.Service():
+		case !ok || u.Target.Service() != target.Service():
 		case r.Group == own.Group && r.Epoch == own.Epoch:
 			q.Members = append(q.Members, mesh.Member{
-				Rank: r.Number, Instance: n.ID, Target: n.Target.Address(), Agent: w.agentOf(*n.Target),
-				Hall: n.Target.Hall(),
+				Rank: r.Number, Instance: u.ID, Target: u.Target.Address(), Agent: w.agentAddress(*u.Target),
+				Hall: u.Target.Hall(),
 			})
-		case r.Group != own.Group && r.Number >= r.Size-othersMost && len(q.Helpers)-entries < othersMost:
-			q.Helpers = append(q.Helpers, w.agentOf(*n.Target))
+		case r.Group != own.Group && r.Number >= r.Size-otherGroupAgents && len(q.Helpers)-entries < otherGroupAgents:
+			q.Helpers = append(q.Helpers, w.agentAddress(*u.Target))
 		}
 	}
 	if len(q.Members) != own.Size {
@@ -240,7 +244,7 @@
 	return q
 }
 
-// agentAddress is the address of the agent on the target's box.
+// agentAddress returns the address of the agent on the target's box, for the given port.
 func agentAddress(t domain.Target, port int) string {
 	host, _, err := net.SplitHostPort(t.Address())
 	if err != nil {
@@ -249,13 +253,13 @@
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// agentOf is the address of the agent on the target's box.
-func (w *agentPoller) agentOf(t domain.Target) string {
+// agentAddress returns the address of the agent on the target's box, for the port of the settings.
+func (w *agentPoller) agentAddress(t domain.Target) string {
 	return agentAddress(t, w.entry.settings().AgentPort)
 }
 
-// shape is that of the maps of the service's groups; nil if it has none.
-func (w *agentPoller) shape(svc domain.ServiceName) *rebalance.Shape {
+// mapShape returns the shape of the maps of the service's groups; nil if the service has none.
+func (w *agentPoller) mapShape(svc domain.ServiceName) *rebalance.Shape {
 	c := w.entry.gateway.Catalog()
 	if c == nil {
 		return nil
@@ -270,7 +274,8 @@
 	}
 }
 
-func (w *agentPoller) take(id domain.InstanceID, r *mesh.RankReport) {
+// applyReport passes the report of the target's agent to the roster and the balancer.
+func (w *agentPoller) applyReport(id domain.InstanceID, r *mesh.RankReport) {
 	now := clock.Now()
 	own := domain.Rank{Group: r.Group, Epoch: uint64(r.State.Epoch), Number: r.Rank, Size: r.Size, Open: r.State.Open}
 	w.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
--- a/node/hall_poller.go
+++ b/node/hall_poller.go
@@ -16,145 +16,151 @@
 )
 
 const (
-	// surveyWithin bounds a question to a box of another hall.
-	surveyWithin = watchWithin
-	// toldFor is how old another box's news of a target may be before this box asks the
-	// target itself: several questions to the target and to that box. It is under the
-	// time after which a silent target is suspect.
-	toldFor = time.Second
+	// hallPollTimeout bounds a request for the report of a hall.
+	hallPollTimeout = agentPollTimeout
+	// minMaxReportAge is the lower limit of the age at which this box no longer relies on another
+	// box's report of a target and queries the target itself: the time of several requests to the
+	// target and to that box. It is shorter than the time after which a target that does not report
+	// is suspect.
+	minMaxReportAge = time.Second
 )
 
-// hallPoller learns from other entry boxes how targets do: of each other data hall from one
-// box there, or in a hall with hubs of all halls from one of these. It notifies others what it
-// heard (membership.HallReporters and membership.RoleOf decide whom to ask).
+// hallPoller receives the status of targets from other entry boxes: for each other data hall from
+// one box there, or, in a hall with hubs, for all halls from one of the hubs. It also serves such
+// reports to other boxes. membership.HallReporters and membership.RoleOf decide which boxes are
+// queried.
 //
 // Lock order: mu, then the fleet's.
 type hallPoller struct {
-	entry     *Entry
-	sightings *telling.Sightings
+	entry    *Entry
+	statuses *telling.Sightings
 
-	mu        sync.Mutex
-	outlook   *membership.HallReporters
-	role      membership.Role
-	place     int       // of this box among those of its hall, in the order of names
-	hubAt     time.Time // when a hub of the hall last reported that it follows the store
-	storeWell func() bool
-	halls     map[domain.HallName]bool // that are followed
+	mu           sync.Mutex
+	reporters    *membership.HallReporters
+	role         membership.Role
+	position     int       // of this box among the boxes of its hall, in the order of names
+	hubFollowsAt time.Time // when a hub of the hall last reported that it follows the store
+	storeHealthy func() bool
+	halls        map[domain.HallName]bool // the halls with a running poll loop
 }
 
 func newHallPoller(e *Entry) *hallPoller {
 	return &hallPoller{
-		entry: e, sightings: telling.NewSightings(),
-		outlook: membership.NewHallReporters(domain.HallName(e.settings().Hall)), halls: map[domain.HallName]bool{},
+		entry: e, statuses: telling.NewSightings(),
+		reporters: membership.NewHallReporters(domain.HallName(e.settings().Hall)), halls: map[domain.HallName]bool{},
 	}
 }
 
-// survey implements mesh.Survey.
-func (s *hallPoller) survey(_ context.Context, q *mesh.HallQuery) (*mesh.HallReport, error) {
-	r := s.sightings.Latest(clock.Now(), q.All)
+// report implements mesh.Survey.
+func (s *hallPoller) report(_ context.Context, q *mesh.HallQuery) (*mesh.HallReport, error) {
+	r := s.statuses.Latest(clock.Now(), q.All)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.Follows = s.role != membership.Follower && s.storeWell != nil && s.storeWell()
+	r.Follows = s.role != membership.Follower && s.storeHealthy != nil && s.storeHealthy()
 	return r, nil
 }
 
-// setStoreHealthy sets how to find out whether this box setStoreHealthy the store and is answered.
-func (s *hallPoller) setStoreHealthy(well func() bool) {
+// setStoreHealthy sets the function that reports whether this box follows the store and the store
+// answers it.
+func (s *hallPoller) setStoreHealthy(healthy func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storeWell = well
+	s.storeHealthy = healthy
 }
 
-// hubFor is how long after a hub reported that it follows the store a follower relies on it:
-// a few of its questions to the hub.
-const hubFor = time.Second
+// hubReliedOnFor is how long a follower relies on a hub after the hub reported that it follows the
+// store: the time of a few requests to the hub.
+const hubReliedOnFor = time.Second
 
-// followers are how many boxes follow the store, and the place of this one among them:
-// the hubs of all halls where there are any, so that one of them soon notices a watch that
-// was silently dropped, else all boxes.
-func (s *hallPoller) followers() (boxes, place int) {
+// storeFollowers returns how many boxes follow the store, and the position of this box among them.
+// If this box is a hub, they are the hubs of all halls, and one of them soon notices a watch that
+// the store has silently dropped; otherwise they are all boxes.
+func (s *hallPoller) storeFollowers() (boxes, position int) {
 	s.mu.Lock()
-	role, at := s.role, s.place
+	role, own := s.role, s.position
 	halls := slices.Sorted(maps.Keys(s.halls))
 	s.mu.Unlock()
 	if role != membership.Hub {
 		return s.entry.peering.reachable()
 	}
 	hall := max(slices.Index(halls, s.hall()), 0)
-	return membership.HubsPerHall * len(halls), hall*membership.HubsPerHall + at
+	return membership.HubsPerHall * len(halls), hall*membership.HubsPerHall + own
 }
 
-// hubFollows reports that a hub of the hall follows the store for this box.
-func (s *hallPoller) hubFollows() bool {
+// hubFollowsStore reports whether a hub of the hall follows the store for this box.
+func (s *hallPoller) hubFollowsStore() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.role == membership.Follower && clock.Since(s.hubAt) < hubFor
+	return s.role == membership.Follower && clock.Since(s.hubFollowsAt) < hubReliedOnFor
 }
 
-// takeRole looks what this box is to its hall now.
-func (s *hallPoller) takeRole(ctx context.Context) {
+// updateRole determines the current role of this box in its hall.
+func (s *hallPoller) updateRole(ctx context.Context) {
 	hall := s.hall()
 	self, others := domain.BoxID(s.entry.settings().Box), s.entry.peering.inHall(hall)
 	role := membership.RoleOf(self, others)
 	s.mu.Lock()
 	before := s.role
-	s.role, s.place = role, membership.Position(self, others)
-	s.outlook.SetRole(role)
+	s.role, s.position = role, membership.Position(self, others)
+	s.reporters.SetRole(role)
 	s.mu.Unlock()
 	if role != before {
-		s.entry.common.Log.Info("role in the hall", "role", role, "before", before)
+		s.entry.common.Log.Info("role in the hall changed", "role", role, "before", before)
 	}
-	s.follow(ctx, hall)
+	s.startLoop(ctx, hall)
 }
 
 func (s *hallPoller) hall() domain.HallName { return domain.HallName(s.entry.settings().Hall) }
 
-// is reports whether this box has the role.
-func (s *hallPoller) is(r membership.Role) bool {
+// hasRole reports whether this box has the role.
+func (s *hallPoller) hasRole(r membership.Role) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.role == r
 }
 
-// asked are the targets that this box is to ask itself.
-func (s *hallPoller) asked(ranks []domain.Target) map[domain.InstanceID]bool {
-	now, old := clock.Now(), s.old()
+// targetsToPoll returns the targets that this box is to query itself.
+func (s *hallPoller) targetsToPoll(ranks []domain.Target) map[domain.InstanceID]bool {
+	now, maxAge := clock.Now(), s.maxReportAge()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[domain.InstanceID]bool{}
 	for _, t := range ranks {
-		if s.outlook.ShouldQueryTarget(now, t.Hall(), t.ID(), old) {
+		if s.reporters.ShouldQueryTarget(now, t.Hall(), t.ID(), maxAge) {
 			out[t.ID()] = true
 		}
 	}
 	return out
 }
 
-// every is the time between two questions about a hall. Where halls have hubs these ask,
-// else all boxes, though not the same one.
-func (s *hallPoller) every() time.Duration {
+// interval returns the time between two requests about a hall. If halls have hubs, only the hubs
+// query other halls; otherwise all boxes do, though not all query the same box.
+func (s *hallPoller) interval() time.Duration {
 	s.mu.Lock()
 	role, halls := s.role, len(s.halls)
 	s.mu.Unlock()
 	if role != membership.Standalone {
-		return everyAmong(membership.HubsPerHall * halls)
+		return pollInterval(membership.HubsPerHall * halls)
 	}
 	boxes, _ := s.entry.peering.reachable()
-	return everyAmong(boxes)
+	return pollInterval(boxes)
 }
 
-// old is how old another box's report may be: in a hall with hubs it comes by way of two
-// boxes after that which received it.
-func (s *hallPoller) old() time.Duration { return max(toldFor, 2*(watchEvery+s.every())) }
+// maxReportAge returns the age up to which this box relies on another box's report of a target. In a
+// hall with hubs, a report passes through two boxes after the one that received it from the target.
+func (s *hallPoller) maxReportAge() time.Duration {
+	return max(minMaxReportAge, 2*(agentPollInterval+s.interval()))
+}
 
+// forget deletes the report times of the targets for which keep returns false.
 func (s *hallPoller) forget(keep func(domain.InstanceID) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outlook.Forget(keep)
+	s.reporters.Forget(keep)
 }
 
-// follow keeps one loop for each hall that has targets.
-func (s *hallPoller) follow(ctx context.Context, hall domain.HallName) {
+// startLoop starts the poll loop of the hall, unless it is running.
+func (s *hallPoller) startLoop(ctx context.Context, hall domain.HallName) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.halls[hall] {
@@ -166,72 +172,74 @@
 
 func (s *hallPoller) run(ctx context.Context, hall domain.HallName) {
 	for ctx.Err() == nil {
-		pause := s.every()
-		if s.surveys(hall) {
-			s.ask(ctx, hall)
+		pause := s.interval()
+		if s.shouldPoll(hall) {
+			s.poll(ctx, hall)
 		} else {
-			pause = s.old() / 2 // a look whether the hubs still report on the hall
+			pause = s.maxReportAge() / 2 // then checks whether the hubs still report on the hall
 		}
 		clock.SleepUntil(ctx, clock.Now().Add(pause))
 	}
 }
 
-// surveys reports whether this box is to ask another about the hall now.
-func (s *hallPoller) surveys(hall domain.HallName) bool {
-	old := s.old()
+// shouldPoll reports whether this box is to query another box about the hall now.
+func (s *hallPoller) shouldPoll(hall domain.HallName) bool {
+	maxAge := s.maxReportAge()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.outlook.ShouldQueryPeer(clock.Now(), hall, old)
+	return s.reporters.ShouldQueryPeer(clock.Now(), hall, maxAge)
 }
 
-// ask asks one box of the hall, if any is in touch.
-func (s *hallPoller) ask(ctx context.Context, hall domain.HallName) {
-	there := membership.HubsOf(s.entry.peering.inHall(hall))
+// poll queries one box of the hall, if any is reachable.
+func (s *hallPoller) poll(ctx context.Context, hall domain.HallName) {
+	hubs := membership.HubsOf(s.entry.peering.inHall(hall))
 	s.mu.Lock()
-	box, ok := s.outlook.Choose(hall, there)
+	box, ok := s.reporters.Choose(hall, hubs)
 	s.mu.Unlock()
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, surveyWithin)
+	ctx, cancel := context.WithTimeout(ctx, hallPollTimeout)
 	defer cancel()
 	report, err := mesh.Call[mesh.HallQuery, mesh.HallReport](ctx, s.entry.mesh, box.Address, mesh.Survey,
 		&mesh.HallQuery{All: hall == s.hall()})
 	if err != nil {
-		s.failed(hall, box.Box, err)
+		s.handleFailure(hall, box.Box, err)
 		return
 	}
-	s.take(hall, box.Box, report)
+	s.applyReport(hall, box.Box, report)
 }
 
-func (s *hallPoller) failed(hall domain.HallName, box domain.BoxID, err error) {
+// handleFailure handles a failed request to the box for the report of the hall.
+func (s *hallPoller) handleFailure(hall domain.HallName, box domain.BoxID, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.outlook.Failed(hall, box) {
+	if s.reporters.Failed(hall, box) {
 		s.entry.common.Log.Warn("no peer reports on hall, watching its targets directly", "hall", hall, "peer", box, "err", err)
 	}
 }
 
-// take hands on what the box received, as of when it received it.
-func (s *hallPoller) take(hall domain.HallName, box domain.BoxID, r *mesh.HallReport) {
+// applyReport passes the statuses in the report to the roster and the balancer, each as of the time
+// at which it was received from its target.
+func (s *hallPoller) applyReport(hall domain.HallName, box domain.BoxID, r *mesh.HallReport) {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.outlook.Answered(hall, box) {
+	if s.reporters.Answered(hall, box) {
 		s.entry.common.Log.Info("hall watched through peer", "hall", hall, "peer", box, "targets", len(r.Targets))
 	}
 	if hall == s.hall() {
-		s.hubAt = time.Time{}
+		s.hubFollowsAt = time.Time{}
 		if r.Follows {
-			s.hubAt = now
+			s.hubFollowsAt = now
 		}
 	}
 	s.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
 		for _, x := range r.Targets {
 			at := now.Add(-x.Ago)
 			target, _ := ros.Get(x.ID)
-			s.outlook.Received(target.Hall(), x.ID, at)
-			s.sightings.Receive(at, x)
+			s.reporters.Received(target.Hall(), x.ID, at)
+			s.statuses.Receive(at, x)
 			own := domain.Rank{Epoch: uint64(x.Epoch), Open: x.Open}
 			if ros.Reported(at, x.ID, own, uint64(x.Step), x.Running > 0) {
 				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Slowdown: float64(x.Pace)})
--- a/node/peering.go
+++ b/node/peering.go
@@ -14,99 +14,102 @@
 	"clovertrail.dev/routing"
 )
 
-// The times and sizes of peering.
+// Times and sizes of the exchange of adverts.
 const (
-	// meetEvery is the time between two rounds of adverts. News is told at once; the
-	// rounds are for boxes that missed it.
-	meetEvery = 500 * time.Millisecond
-	// kickGap gathers news that comes in quick succession into one round.
-	kickGap = 30 * time.Millisecond
-	// meetWithin bounds a call to another box.
-	meetWithin = 700 * time.Millisecond
-	// meetMost is how many boxes are told in a round. With more boxes than that news
-	// spreads over a few rounds; each box sends the same whatever their number.
-	meetMost = 8
-	// maxAdvertised is how many other boxes an advert names, and maxAdvertisedOld how many of them
-	// are not new. A box hears a few dozen adverts a second, so that even of hundreds of
-	// boxes each is learned of within the time in which it counts.
+	// advertInterval is the time between two rounds of adverts. Updates are sent at once; the
+	// rounds are for boxes that missed them.
+	advertInterval = 500 * time.Millisecond
+	// updateBatchDelay collects updates that follow each other quickly into one round.
+	updateBatchDelay = 30 * time.Millisecond
+	// peerCallTimeout bounds a call to another box.
+	peerCallTimeout = 700 * time.Millisecond
+	// advertFanout is how many boxes are sent an advert in a round. If there are more boxes,
+	// updates spread over a few rounds; each box sends the same number of adverts however many
+	// boxes there are.
+	advertFanout = 8
+	// maxAdvertised is how many other boxes an advert lists, and maxAdvertisedOld how many of
+	// them may be boxes that are not new. A box receives a few dozen adverts a second, so that even
+	// of hundreds of boxes each is listed to it within the time for which a box counts as alive.
 	maxAdvertised, maxAdvertisedOld = 16, 2
-	// seedEvery is the time between two looks at a seed by a box that knows others: it
-	// joins parts of the system that lost each other.
-	seedEvery = 5 * time.Second
-	// tellAllEvery is the time between two rounds in which a box reports all works in
-	// quarantine: as long as a box has to catch up after it was cut off, while it learns of
-	// them from several others on average.
-	tellAllEvery = 3 * time.Second
+	// seedInterval is the time between two adverts to the seeds by a box that has other peers:
+	// they join parts of the system that have lost each other.
+	seedInterval = 5 * time.Second
+	// allWorksInterval is the time between two rounds in which a box reports all works in
+	// quarantine: the time that a box has to catch up after it was cut off, in which on average it
+	// receives them from several others.
+	allWorksInterval = 3 * time.Second
 )
 
-// peering sends other entry boxes what this one knows, and asks them for what it
-// does not: so a box that the store turns away still learns the news.
+// peering sends other entry boxes the updates that this box has, and pulls from them those that it
+// lacks: so a box that the store rejects still receives all updates.
 //
 // Lock order: mu, then the locks of view and fleet.
 type peering struct {
 	entry *Entry
 	self  membership.Contact
-	kick  chan struct{}
+	wake  chan struct{} // starts the next round at once
 
 	mu           sync.Mutex
 	boxes        *membership.Boxes
-	calling      map[string]bool
-	life         *membership.IncarnationTracker
-	behind       time.Time
-	seedAt       time.Time
-	allAt        time.Time // of the last round in which all works in quarantine were told
-	shared       int
-	hasAllLimits bool // a box that has run for a while has told this one all limits
+	calling      map[string]bool // the addresses with a call in progress
+	incarnations *membership.IncarnationTracker
+	behindSince  time.Time // when this box was first behind another; zero if it is not
+	seededAt     time.Time // time of the last advert to the seeds
+	allWorksAt   time.Time // time of the last round that reported all works in quarantine
+	boundSharers int       // the number of boxes that share bounds, as last logged
+	hasAllLimits bool      // a box that has run for a while has sent this one all limits
 }
 
 func newPeering(e *Entry) *peering {
 	s := e.settings()
-	life := membership.NewIncarnationTracker()
+	incarnations := membership.NewIncarnationTracker()
 	return &peering{
-		entry: e, life: life,
+		entry: e, incarnations: incarnations,
 		self: membership.Contact{
-			Box: domain.BoxID(s.Box), Address: s.Peers, Incarnation: life.Incarnation(),
+			Box: domain.BoxID(s.Box), Address: s.Peers, Incarnation: incarnations.Incarnation(),
 		},
-		kick:    make(chan struct{}, 1),
-		boxes:   membership.NewBoxes(domain.BoxID(s.Box), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		calling: map[string]bool{},
-		shared:  1,
+		wake:         make(chan struct{}, 1),
+		boxes:        membership.NewBoxes(domain.BoxID(s.Box), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		calling:      map[string]bool{},
+		boundSharers: 1,
 	}
 }
 
-// reachable is how many boxes send each other news now, this one included, and the place
-// of this one among them.
-func (p *peering) reachable() (boxes, place int) {
+// reachable returns how many boxes are reachable now, including this one, and the position of this
+// one among them.
+func (p *peering) reachable() (boxes, position int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.boxes.Reachable(clock.Now())
 }
 
-// issuer is the box that hands out the permits of the service; without a name if none is known.
+// issuer returns the box that issues the permits of the service; its name is empty if no issuer is
+// known.
 func (p *peering) issuer(now time.Time, svc domain.ServiceName) membership.Contact {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.boxes.Issuer(now, svc, p.entry.gateway.Stopping())
 }
 
-// issuerShare is how many boxes this one counts as an issuer, and how many share limits.
-func (p *peering) issuerShare(now time.Time) (heard, sharing int) {
+// issuerShare returns the number of boxes for which this one issues permits, and the number of boxes
+// that share limits.
+func (p *peering) issuerShare(now time.Time) (served, sharing int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.boxes.IssuerShare(now)
 }
 
-// near is how many boxes of the hall, this one included, are in touch.
-func (p *peering) near(hall domain.HallName) int { return 1 + len(p.inHall(hall)) }
+// countInHall returns how many boxes of the hall are reachable, including this one.
+func (p *peering) countInHall(hall domain.HallName) int { return 1 + len(p.inHall(hall)) }
 
-// inHall are the other boxes of the hall that are inHall touch.
+// inHall returns the other boxes of the hall that are reachable.
 func (p *peering) inHall(hall domain.HallName) []membership.Contact {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.boxes.InHall(clock.Now(), hall)
 }
 
-// isolated reports whether this box has lost the boxes of all other data halls.
+// isolated reports whether this box receives nothing from any box of other data halls any more.
 func (p *peering) isolated(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,20 +117,20 @@
 	return known && now.Sub(last) > membership.ReachableFor
 }
 
-// notify makes the next round come at once.
+// notify starts the next round at once.
 func (p *peering) notify() {
 	select {
-	case p.kick <- struct{}{}:
-	default: // a round is due already
+	case p.wake <- struct{}{}:
+	default: // a round is pending already
 	}
 }
 
-// serve answers other boxes at the addresses of the settings.
+// serve serves the calls of other boxes at the addresses of the settings.
 func (p *peering) serve(ctx context.Context, failed chan<- error) error {
 	mux := mesh.NewMux()
 	mesh.Handle(mux, mesh.Meet, p.meet)
 	mesh.Handle(mux, mesh.Pull, p.pull)
-	mesh.Handle(mux, mesh.Survey, p.entry.hallPoller.survey)
+	mesh.Handle(mux, mesh.Survey, p.entry.hallPoller.report)
 	mesh.Handle(mux, mesh.Permit, p.entry.limiting.permit)
 	mesh.Handle(mux, mesh.Command, p.entry.command)
 	mesh.Handle(mux, mesh.Deal, p.entry.deal)
@@ -144,56 +147,56 @@
 	return nil
 }
 
-// run makes rounds until ctx ends.
+// run runs rounds of adverts until ctx ends.
 func (p *peering) run(ctx context.Context) {
-	var fullAt time.Time // of the last round that was not only for news
+	var fullAt time.Time // time of the last full round, which lists other boxes besides sending updates
 	for ctx.Err() == nil {
-		full := clock.Since(fullAt) >= meetEvery
+		full := clock.Since(fullAt) >= advertInterval
 		if full {
 			fullAt = clock.Now()
 		}
 		p.round(ctx, !full)
 		select {
 		case <-ctx.Done():
-		case <-p.kick:
-			clock.SleepUntil(ctx, clock.Now().Add(kickGap))
-		case <-time.After(clock.Until(fullAt.Add(meetEvery))):
+		case <-p.wake:
+			clock.SleepUntil(ctx, clock.Now().Add(updateBatchDelay))
+		case <-time.After(clock.Until(fullAt.Add(advertInterval))):
 		}
 	}
 }
 
-// round notifies some boxes, and asks one of them if this box is behind. Where it is only for
-// news, no other boxes are named.
-func (p *peering) round(ctx context.Context, news bool) {
+// round sends adverts to some boxes, and pulls updates from one if this box is behind. If the round
+// is only for updates, the adverts list no other boxes.
+func (p *peering) round(ctx context.Context, updatesOnly bool) {
 	now := clock.Now()
 	p.mu.Lock()
 	var addresses []string
-	for _, c := range p.boxes.Sample(now, meetMost) {
+	for _, c := range p.boxes.Sample(now, advertFanout) {
 		addresses = append(addresses, c.Address)
 	}
-	if seeds := p.entry.settings().Seeds; len(seeds) > 0 && (len(addresses) == 0 || now.Sub(p.seedAt) > seedEvery) {
-		p.seedAt = now
+	if seeds := p.entry.settings().Seeds; len(seeds) > 0 && (len(addresses) == 0 || now.Sub(p.seededAt) > seedInterval) {
+		p.seededAt = now
 		addresses = append(addresses, seeds...)
 	}
-	if n := p.boxes.BoundSharers(now); n != p.shared {
-		p.entry.common.Log.Info("boxes share bounds", "boxes", n, "before", p.shared)
-		p.shared = n
+	if n := p.boxes.BoundSharers(now); n != p.boundSharers {
+		p.entry.common.Log.Info("number of boxes that share bounds changed", "boxes", n, "before", p.boundSharers)
+		p.boundSharers = n
 		p.entry.budgets.setBoxes(n)
 		p.entry.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.SetBoxes(n) })
 	}
-	all := now.Sub(p.allAt) >= tellAllEvery
-	if all {
-		p.allAt = now
+	allWorks := now.Sub(p.allWorksAt) >= allWorksInterval
+	if allWorks {
+		p.allWorksAt = now
 	}
 	p.mu.Unlock()
 	for _, a := range addresses {
-		p.start(a, func() { p.call(ctx, a, news, all) })
+		p.startCall(a, func() { p.exchange(ctx, a, updatesOnly, allWorks) })
 	}
 	p.catchUp(ctx)
 }
 
-// start runs a call to the address unless one is under way.
-func (p *peering) start(address string, call func()) {
+// startCall runs the call in the background unless one to the same address is in progress.
+func (p *peering) startCall(address string, call func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.calling[address] {
@@ -208,84 +211,86 @@
 	}()
 }
 
-// call exchanges adverts with the box at the address. One that does not answer is
-// tried again in a later round.
-func (p *peering) call(ctx context.Context, address string, news, all bool) {
-	ctx, cancel := context.WithTimeout(ctx, meetWithin)
+// exchange exchanges adverts with the box at the address. A box that does not respond is called
+// again in a later round.
+func (p *peering) exchange(ctx context.Context, address string, updatesOnly, allWorks bool) {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	reply, err := mesh.Call[mesh.Advert, mesh.Advert](ctx, p.entry.mesh, address, mesh.Meet, p.advert(news, all))
+	reply, err := mesh.Call[mesh.Advert, mesh.Advert](ctx, p.entry.mesh, address, mesh.Meet, p.advert(updatesOnly, allWorks))
 	if err == nil {
-		p.outlive(reply.Remembered)
+		p.supersede(reply.Remembered)
 		p.receive(reply)
-		p.noteBriefed(reply)
+		p.noteAllLimits(reply)
 	}
 }
 
-// noteBriefed takes the answer of a box; one that has run for a while sent all limits.
-func (p *peering) noteBriefed(reply *mesh.Advert) {
+// noteAllLimits records whether the reply contains all limits, as that of a box that has run for a
+// while does.
+func (p *peering) noteAllLimits(reply *mesh.Advert) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hasAllLimits = p.hasAllLimits || reply.Share != nil && reply.Share.Settled
 }
 
-// outlive makes this process later than the one of this box that another box remembers.
-func (p *peering) outlive(remembered domain.Incarnation) {
+// supersede gives this process a higher incarnation than the one that another box has on record for
+// this box from an earlier process.
+func (p *peering) supersede(remembered domain.Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.life.Observe(remembered) {
-		p.self.Incarnation = p.life.Incarnation()
+	if p.incarnations.Observe(remembered) {
+		p.self.Incarnation = p.incarnations.Incarnation()
 		p.notify()
 	}
 }
 
-// trackBehind keeps since when this box is behind; mu is held.
+// trackBehind updates since when this box is behind another; mu is held.
 func (p *peering) trackBehind(now time.Time, own membership.StoreProgress) {
 	switch behind := p.boxes.Behind(own); {
 	case !behind:
-		p.behind = time.Time{}
-	case p.behind.IsZero():
-		p.behind = now
+		p.behindSince = time.Time{}
+	case p.behindSince.IsZero():
+		p.behindSince = now
 		time.AfterFunc(membership.PullDelay, p.notify)
 	}
 }
 
-// catchUp asks a box that knows more.
+// catchUp pulls updates from a box that has newer ones, if this box is behind.
 func (p *peering) catchUp(ctx context.Context) {
 	now := clock.Now()
 	own := p.level()
 	p.mu.Lock()
 	p.trackBehind(now, own)
-	c, ok := p.boxes.ChoosePullPeer(now, own, p.behind)
+	c, ok := p.boxes.ChoosePullPeer(now, own, p.behindSince)
 	p.mu.Unlock()
 	if ok {
-		p.start("pull "+c.Address, func() { p.ask(ctx, c, own) })
+		p.startCall("pull "+c.Address, func() { p.pullFrom(ctx, c, own) })
 	}
 }
 
-// ask takes what the other box has that this one has not.
-func (p *peering) ask(ctx context.Context, c membership.Contact, own membership.StoreProgress) {
-	ctx, cancel := context.WithTimeout(ctx, meetWithin)
+// pullFrom requests the records that the other box has in a newer version, and applies them.
+func (p *peering) pullFrom(ctx context.Context, c membership.Contact, own membership.StoreProgress) {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	q := &mesh.PullQuery{Config: own.Config, Targets: own.Targets}
 	got, err := mesh.Call[mesh.PullQuery, mesh.Pulled](ctx, p.entry.mesh, c.Address, mesh.Pull, q)
 	if err != nil {
-		p.entry.common.Log.Warn("pull from peer failed, asking again", "peer", c.Box, "err", err)
+		p.entry.common.Log.Warn("pull from peer failed, retrying", "peer", c.Box, "err", err)
 		p.notify()
 		return
 	}
 	source := "peer " + string(c.Box)
 	if got.Config != nil {
-		p.entry.view.configuration(got.Config.Raw, got.Config.At, source)
+		p.entry.view.applyConfiguration(got.Config.Raw, got.Config.At, source)
 	}
 	if got.At.IsZero() {
 		return
 	}
-	news, err := got.News()
+	updates, err := got.News()
 	if err != nil {
-		p.entry.common.Log.Error("list of targets from peer rejected", "peer", c.Box, "err", err)
+		p.entry.common.Log.Error("list of targets from peer rejected, keeping the own one", "peer", c.Box, "err", err)
 		return
 	}
-	p.entry.view.targets(got.At, news, source)
+	p.entry.view.applyTargets(got.At, updates, source)
 }
 
 // pull implements mesh.Pull.
--- a/node/quarantine_sync.go
+++ b/node/quarantine_sync.go
@@ -18,43 +18,43 @@
 	"clovertrail.dev/telemetry"
 )
 
-// quarantineSync guards what the box knows of works under which targets ended, notifies other boxes
-// and keeps it in the store: all boxes may die at once, and must not send such work again
-// then. It implements gateway.Quarantine.
+// quarantineSync holds the box's register of works under which targets ended, and exchanges the
+// register with other boxes and with the store. The store has it because all boxes may end at once,
+// and must not send such work again when they have restarted. It implements gateway.Quarantine.
 //
 // Lock order: mu is the only lock, and no I/O is done under it.
 type quarantineSync struct {
-	common telemetry.Common
-	news   func()           // makes this box notify others at once
-	apart  func() bool      // reports that this box hears no other hall, so that only the store tells it
-	era    func() store.Era // the latest of the store that this box has learned of
+	common   telemetry.Common
+	notify   func()           // sends updates to other boxes at once
+	isolated func() bool      // reports whether this box receives nothing from other halls, except through the store
+	era      func() store.Era // the latest era of the store that this box has observed
 
-	mu       sync.Mutex
-	register *quarantine.Register
-	rewriter *quarantine.Reconciler
-	unkept   []quarantine.Record // that this box is to keep in the store
-	wake     chan struct{}
+	mu         sync.Mutex
+	register   *quarantine.Register
+	reconciler *quarantine.Reconciler
+	pending    []quarantine.Record // records that this box is to write to the store, oldest first
+	wake       chan struct{}       // makes run write pending records at once
 }
 
 const (
-	// lookEvery is the time between two looks at the store, by a box that has not read it yet
-	// or that hears no other hall, and before a call that failed is made again: a third of the
-	// time in which boxes have to know of each other's findings.
-	lookEvery = time.Second
-	// unkeptMost bounds the records that wait for the store.
-	unkeptMost = 64
+	// storeReadInterval is the time between two reads of the stored records by a box that has not
+	// read them yet or is isolated, and between a failed call and the next: a third of the time
+	// within which boxes have to receive each other's observations.
+	storeReadInterval = time.Second
+	// maxPendingRecords bounds the records that wait for the store.
+	maxPendingRecords = 64
 )
 
-// Where a box knows a quarantine from, beside other boxes.
+// Sources of observations other than other boxes.
 const (
 	sourceOwn   = "own"
 	sourceStore = "store"
 )
 
-func newQuarantineSync(c telemetry.Common, news func(), apart func() bool, era func() store.Era) *quarantineSync {
+func newQuarantineSync(c telemetry.Common, notify func(), isolated func() bool, era func() store.Era) *quarantineSync {
 	return &quarantineSync{
-		common: c, news: news, apart: apart, era: era, register: quarantine.NewRegister(),
-		rewriter: quarantine.NewReconciler(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), wake: make(chan struct{}, 1),
+		common: c, notify: notify, isolated: isolated, era: era, register: quarantine.NewRegister(),
+		reconciler: quarantine.NewReconciler(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), wake: make(chan struct{}, 1),
 	}
 }
 
@@ -67,31 +67,32 @@
 
 // TargetEnded implements gateway.Quarantine.
 func (q *quarantineSync) TargetEnded(now time.Time, d call.Digest, id domain.InstanceID) {
-	q.take(now, quarantine.Observation{Digest: d, Target: id, At: now}, sourceOwn)
+	q.observe(now, quarantine.Observation{Digest: d, Target: id, At: now}, sourceOwn)
 }
 
 // WorkServed implements gateway.Quarantine.
 func (q *quarantineSync) WorkServed(now time.Time, d call.Digest) {
-	q.take(now, quarantine.Observation{Digest: d, At: now}, sourceOwn)
+	q.observe(now, quarantine.Observation{Digest: d, At: now}, sourceOwn)
 }
 
-// take takes a report from the source, logs what it changes, and sees to it that others are notified.
-func (q *quarantineSync) take(now time.Time, w quarantine.Observation, source string) {
+// observe adds an observation from the source to the register, logs the change, and notifies other
+// boxes if they need it at once.
+func (q *quarantineSync) observe(now time.Time, w quarantine.Observation, source string) {
 	q.mu.Lock()
 	change := q.register.Observe(now, w)
-	q.note(now, w, change, source)
-	barred := change == quarantine.Quarantined
-	if barred && source == sourceOwn {
-		q.keep(w.Digest)
+	q.recordChange(now, w, change, source)
+	quarantined := change == quarantine.Quarantined
+	if quarantined && source == sourceOwn {
+		q.enqueue(w.Digest)
 	}
 	q.mu.Unlock()
-	if barred || source == sourceOwn && change != quarantine.Unchanged {
-		q.news()
+	if quarantined || source == sourceOwn && change != quarantine.Unchanged {
+		q.notify()
 	}
 }
 
-// note logs and counts what an observation changed; mu is held.
-func (q *quarantineSync) note(now time.Time, w quarantine.Observation, change quarantine.Change, source string) {
+// recordChange logs and counts the change that an observation made; mu is held.
+func (q *quarantineSync) recordChange(now time.Time, w quarantine.Observation, change quarantine.Change, source string) {
 	attrs := []any{"digest", w.Digest, "target", w.Target, "ended", q.register.EndedTargets(w.Digest), "age", now.Sub(w.At), "source", source}
 	switch change {
 	case quarantine.Unchanged:
@@ -105,11 +106,12 @@
 		q.common.Log.Warn("work in quarantine", append(attrs, "left", until.Sub(now))...)
 	case quarantine.Released:
 		q.common.Metrics.Count(telemetry.Quarantines, "released", 1)
-		q.common.Log.Info("work released from quarantine, it was served", attrs...)
+		q.common.Log.Info("work released from quarantine because a target served it", attrs...)
 	}
 }
 
-// sourceKind names the source without the box, so that a counter has few series.
+// sourceKind returns the label of the source for counters. It does not name the box, which keeps the
+// number of series low.
 func sourceKind(source string) string {
 	switch source {
 	case sourceOwn, sourceStore:
@@ -119,14 +121,15 @@
 	}
 }
 
-// receive takes what another box sent.
+// receive adds the observations that another box sent.
 func (q *quarantineSync) receive(now time.Time, observations []mesh.WorkObservation, source string) {
 	for _, w := range observations {
-		q.take(now, quarantine.Observation{Digest: w.Digest, Target: w.Target, At: now.Add(-w.Ago)}, source)
+		q.observe(now, quarantine.Observation{Digest: w.Digest, Target: w.Target, At: now.Add(-w.Ago)}, source)
 	}
 }
 
-// observations is what other boxes are sent, and with all, what they may have missed.
+// observations returns the observations to send to other boxes: the recent ones or, if all is set,
+// also those that the boxes may have missed.
 func (q *quarantineSync) observations(now time.Time, all bool) []mesh.WorkObservation {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -137,20 +140,20 @@
 	return list
 }
 
-// keep has the store keep what this box found out of the work; mu is held.
-func (q *quarantineSync) keep(d call.Digest) {
-	if len(q.unkept) >= unkeptMost {
-		q.common.Log.Error("quarantine not stored, too many wait for the store", "digest", d, "waiting", len(q.unkept))
+// enqueue appends the record of the work to the pending ones; mu is held.
+func (q *quarantineSync) enqueue(d call.Digest) {
+	if len(q.pending) >= maxPendingRecords {
+		q.common.Log.Error("quarantine record not written to the store and dropped, too many are pending", "digest", d, "waiting", len(q.pending))
 		return
 	}
-	q.unkept = append(q.unkept, q.record(d))
+	q.pending = append(q.pending, q.record(d))
 	select {
 	case q.wake <- struct{}{}:
-	default: // it is awake already
+	default: // run is woken already
 	}
 }
 
-// record is what the store is to keep of the work; mu is held.
+// record returns the record of the work for the store; mu is held.
 func (q *quarantineSync) record(d call.Digest) quarantine.Record {
 	observations := q.register.Observations(d)
 	for i := range observations {
@@ -159,123 +162,125 @@
 	return quarantine.NewRecord(observations)
 }
 
-// run reads what the store keeps, and keeps there what this box finds out, until ctx ends. As
-// the whole system starts for the first time there is nothing to read.
+// run reads the records of other boxes from the store and writes those of this box, until ctx ends.
+// When the whole system starts for the first time, which first reports, there is nothing to read.
 func (q *quarantineSync) run(ctx context.Context, s store.RecordStore, first bool) {
 	loaded := first
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+	ticker := time.NewTicker(storeReadInterval)
+	defer ticker.Stop()
 	for {
-		if compare := q.toCompare(); compare || !loaded || q.apart() {
+		if compare := q.comparisonDue(); compare || !loaded || q.isolated() {
 			loaded = q.load(ctx, s) || loaded
 		}
-		q.keepAll(ctx, s)
+		q.writePending(ctx, s)
 		select {
 		case <-ctx.Done():
 			return
 		case <-q.wake:
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// toCompare reports whether the store was restored and may have lost what this box knows.
-func (q *quarantineSync) toCompare() bool {
+// comparisonDue reports whether the stored records are to be compared with the register, because the
+// store was restored and may have lost records that this box has.
+func (q *quarantineSync) comparisonDue() bool {
 	now, era := clock.Now(), q.era()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.rewriter.ObserveEra(now, era)
-	if !q.rewriter.Due(now) {
+	q.reconciler.ObserveEra(now, era)
+	if !q.reconciler.Due(now) {
 		return false
 	}
 	if len(q.register.ToPersist(now)) == 0 {
-		q.rewriter.MarkCompared()
+		q.reconciler.MarkCompared()
 		return false
 	}
 	return true
 }
 
-// compare has what the restored store has lost written again. names are those of its records.
-func (q *quarantineSync) compare(now time.Time, names map[string]bool) {
+// compare enqueues the records of this box that the restored store lacks. stored has the names of the
+// records in the store.
+func (q *quarantineSync) compare(now time.Time, stored map[string]bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.rewriter.Due(now) {
+	if !q.reconciler.Due(now) {
 		return
 	}
-	q.rewriter.MarkCompared()
+	q.reconciler.MarkCompared()
 	for _, d := range q.register.ToPersist(now) {
-		if !names[q.record(d).Name()] {
-			q.common.Log.Warn("quarantine lost by the store, writing it again", "digest", d)
-			q.keep(d)
+		if !stored[q.record(d).Name()] {
+			q.common.Log.Warn("restored store lacks quarantine record, writing it again", "digest", d)
+			q.enqueue(d)
 		}
 	}
 }
 
-// load takes what the store keeps, and reports whether it answered. What is over there is taken
-// away: nothing else does.
+// load adds the observations of the stored records, and reports whether the store answered. It removes
+// expired records from the store: nothing else removes them.
 func (q *quarantineSync) load(ctx context.Context, s store.RecordStore) bool {
 	l, err := s.List(ctx, platform.Quarantines)
-	q.called("list", err)
+	q.recordCall("list", err)
 	if err != nil {
 		return false
 	}
-	now, day, names := clock.Now(), time.Now(), map[string]bool{}
+	now, day, stored := clock.Now(), time.Now(), map[string]bool{}
 	for _, r := range l.Records {
-		names[r.Name] = true
-		var kept quarantine.Record
-		if err := json.Unmarshal(r.Spec, &kept); err != nil {
-			q.common.Log.Error("quarantine record rejected", "record", r.Name, "at", r.At, "err", err)
+		stored[r.Name] = true
+		var record quarantine.Record
+		if err := json.Unmarshal(r.Spec, &record); err != nil {
+			q.common.Log.Error("quarantine record of the store cannot be decoded, ignoring it", "record", r.Name, "at", r.At, "err", err)
 			continue
 		}
-		if kept.Expired(day) {
-			q.called("remove", s.Remove(ctx, platform.Quarantines, r.Name))
+		if record.Expired(day) {
+			q.recordCall("remove", s.Remove(ctx, platform.Quarantines, r.Name))
 			continue
 		}
-		for _, w := range kept.Observations(now, day) {
-			q.take(now, w, sourceStore)
+		for _, w := range record.Observations(now, day) {
+			q.observe(now, w, sourceStore)
 		}
 	}
-	q.compare(now, names)
+	q.compare(now, stored)
 	return true
 }
 
-// next is the record that waits longest.
-func (q *quarantineSync) next() (quarantine.Record, bool) {
+// nextPending returns the record that has been pending longest.
+func (q *quarantineSync) nextPending() (quarantine.Record, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.unkept) == 0 {
+	if len(q.pending) == 0 {
 		return quarantine.Record{}, false
 	}
-	return q.unkept[0], true
+	return q.pending[0], true
 }
 
-// keepAll keeps the records that wait, until the store fails.
-func (q *quarantineSync) keepAll(ctx context.Context, s store.RecordStore) {
-	for next, ok := q.next(); ok; next, ok = q.next() {
+// writePending writes the pending records to the store, until a call fails.
+func (q *quarantineSync) writePending(ctx context.Context, s store.RecordStore) {
+	for next, ok := q.nextPending(); ok; next, ok = q.nextPending() {
 		spec, err := json.Marshal(next)
 		if err == nil {
 			err = s.Create(ctx, platform.Quarantines, next.Name(), spec)
 		}
 		if errors.Is(err, store.ErrExists) {
-			err = nil // another box kept it, or an earlier call was done after all
+			err = nil // another box wrote it, or an earlier call succeeded though it returned an error
 		}
-		q.called("create", err)
+		q.recordCall("create", err)
 		if err != nil {
 			return
 		}
 		q.mu.Lock()
-		q.unkept = q.unkept[1:]
+		q.pending = q.pending[1:]
 		q.mu.Unlock()
 	}
 }
 
-// called counts a call to the store, and logs one that failed.
-func (q *quarantineSync) called(call string, err error) {
+// recordCall counts a call to the store, and logs a failed one.
+func (q *quarantineSync) recordCall(call string, err error) {
 	name := call + " " + string(platform.Quarantines)
 	if err == nil {
 		q.common.Metrics.Count(telemetry.PlatformCalls, name, 1)
 		return
 	}
 	q.common.Metrics.Count(telemetry.PlatformCalls, name+" failed", 1)
-	q.common.Log.Warn("call to the store for quarantines failed, retrying", "call", call, "err", err)
+	q.common.Log.Warn("call to the store for quarantine records failed, retrying", "call", call, "err", err)
 }
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -11,18 +11,18 @@
 	"clovertrail.dev/telemetry"
 )
 
-// readiness answers the platform's question whether the box takes callers. It does
-// once it has a configuration, until it leaves. While it is cut off from all other
-// data halls and has no target for a service that is asked for, it does not either:
-// callers are then sent to other halls, where such targets may be.
+// readiness serves the platform's readiness checks. The box is ready for callers once it has a
+// configuration, until its planned stop. It is not ready while it is isolated, that is, cut off from
+// all other data halls and without a target for a service that is requested: callers are then sent
+// to other halls, which may have such targets.
 type readiness struct {
 	configured atomic.Bool
 	leaving    atomic.Bool
-	stranded   atomic.Bool
+	isolated   atomic.Bool
 }
 
 func (r *readiness) ready() bool {
-	return r.configured.Load() && !r.leaving.Load() && !r.stranded.Load()
+	return r.configured.Load() && !r.leaving.Load() && !r.isolated.Load()
 }
 
 // ServeHTTP implements http.Handler.
@@ -32,12 +32,12 @@
 	}
 }
 
-// judgeEvery is the time between two looks whether the box is stranded: a few in
-// each pause of the platform's questions, which come once a second.
-const judgeEvery = 200 * time.Millisecond
+// readinessInterval is the time between two checks of whether the box is isolated: a few between
+// two readiness checks of the platform, which come once a second.
+const readinessInterval = 200 * time.Millisecond
 
-// noteStandings logs what this box thinks of targets where that has changed.
-func (e *Entry) noteStandings(now time.Time) {
+// logStandings logs the standings of targets that have changed since the last call.
+func (e *Entry) logStandings(now time.Time) {
 	standings := e.fleet.standings(now)
 	for id, s := range standings {
 		if before := e.standings[id]; before != s {
@@ -47,7 +47,8 @@
 	e.standings = standings
 }
 
-// onTargetEjected logs that a target is out of use as several boxes report failures of it.
+// onTargetEjected records that a target gets no requests because several boxes report failures of
+// it.
 func (e *Entry) onTargetEjected(id domain.InstanceID) {
 	e.common.Metrics.Count(telemetry.Ejections, "failure reports", 1)
 	e.common.Log.Warn("target ejected, several boxes report failures", "target", id)
@@ -55,19 +56,19 @@
 
 // onTargetLeaving logs that a target reports that it is leaving, and notifies other boxes at once.
 func (e *Entry) onTargetLeaving(id domain.InstanceID, source string) {
-	e.common.Log.Info("target announced that it is leaving", "target", id, "source", source)
+	e.common.Log.Info("target reported that it is leaving, notifying other boxes", "target", id, "source", source)
 	e.peering.notify()
 }
 
-// checkReadiness keeps the readiness until ctx ends.
+// checkReadiness updates the readiness and logs changed standings until ctx ends.
 func (e *Entry) checkReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := clock.Now()
-		stranded := (e.peering.isolated(now) || e.fleet.cutOff(now)) && e.fleet.wanting(now)
-		if before := e.ready.stranded.Swap(stranded); before != stranded {
-			e.common.Log.Warn("cut off without targets", "stranded", stranded, "before", before)
+		isolated := (e.peering.isolated(now) || e.fleet.cutOff(now)) && e.fleet.wanting(now)
+		if before := e.ready.isolated.Swap(isolated); before != isolated {
+			e.common.Log.Warn("cut off without targets", "stranded", isolated, "before", before)
 		}
-		e.noteStandings(now)
-		clock.SleepUntil(ctx, now.Add(judgeEvery))
+		e.logStandings(now)
+		clock.SleepUntil(ctx, now.Add(readinessInterval))
 	}
 }
--- a/node/record_follower.go
+++ b/node/record_follower.go
@@ -17,64 +17,68 @@
 	"clovertrail.dev/telemetry"
 )
 
-// recordFollower follows one kind of record in the store and hands on what it brings.
+// recordFollower follows one kind of record in the store and passes listings and changes on.
 type recordFollower struct {
 	common    telemetry.Common
 	feed      store.Feed
 	kind      store.Kind
-	pace      follow.Timing
+	timing    follow.Timing
 	follower  *follow.Follower
-	listed    func(store.Listing)
-	changed   func(store.Changes)
-	lost      func()                    // called while the store does not answer
-	among     func() (boxes, place int) // that notify each other what they learn
-	delegated func() bool               // another box follows the store for this one
-	known     func() store.Position     // up to which the kind is known here, from whomever
-	era       func() store.Era          // the latest that this box has learned of
-	wasLost   bool
-	healthy   atomic.Bool // the store answered last
+	onList    func(store.Listing)
+	onChanges func(store.Changes)
+	onFailure func() // called after each call that the store did not answer
+
+	peers         func() (boxes, position int) // the boxes that follow the store and notify each other of changes
+	delegated     func() bool                  // reports whether another box follows the store for this one
+	knownPosition func() store.Position        // up to which this box has the records, from the store or from peers
+	era           func() store.Era             // the latest era of the store that this box has observed
+
+	failing bool        // the store did not answer the last call
+	healthy atomic.Bool // the store answered the last call
 }
 
-// settleSlack is how much later than the roster has settled the targets are listed once more.
-const settleSlack = 500 * time.Millisecond
+// relistSlack is added to the time in which the roster settles after a restore of the store; the
+// targets are then listed once more.
+const relistSlack = 500 * time.Millisecond
 
-// mostWait is under the longest wait that the store takes, 30 s.
-const mostWait = 25 * time.Second
+// maxStoreWait is the longest wait of a watch: shorter than the longest that the store accepts, 30 s.
+const maxStoreWait = 25 * time.Second
 
-// firstPause bounds how long a box waits for other boxes to send it what they know, as the
-// whole system starts for the first time: a few times what that takes, from its first advert
-// to their answer (PullDelay and a few ways between boxes). A box that starts later has
-// callers waiting, and asks the store at once.
-const firstPause = 600 * time.Millisecond
+// maxFirstStartDelay bounds how long a box waits for other boxes to send it their records when the
+// whole system starts for the first time: a few times the time from its first advert to their
+// response (membership.PullDelay and a few trips between boxes). A box that starts later has callers
+// waiting, and queries the store at once.
+const maxFirstStartDelay = 600 * time.Millisecond
 
 const (
-	// storePause is the first pause after the store failed, and storePauseMost the longest.
-	storePause, storePauseMost = 100 * time.Millisecond, time.Second
-	// pauseShare, waitShare and gatherShare are how many pauses, watches and roundups of changes fit
-	// into the bound that each serves.
-	pauseShare, waitShare, gatherShare = 4, 2, 8
+	// minStoreBackoff is the first pause after the store failed, and maxStoreBackoff the longest.
+	minStoreBackoff, maxStoreBackoff = 100 * time.Millisecond, time.Second
+	// The bounds of the settings are divided by these: backoffsPerBound pauses after failures fit into
+	// the bound of a change of the configuration, watchesPerBound watches into the bound of contact,
+	// and changePausesPerBound pauses that collect changes into the bound of draining.
+	backoffsPerBound, watchesPerBound, changePausesPerBound = 4, 2, 8
 )
 
-// pace fits the bounds: a watch that was silently lost while the store was in
-// trouble is noticed before the bounds hold again.
-func pace(b process.Bounds) follow.Timing {
+// followTiming derives the timing from the bounds of the settings: a watch that was silently dropped
+// while the store was failing is noticed before the bounds apply again.
+func followTiming(b process.Bounds) follow.Timing {
 	return follow.Timing{
-		Wait:        b.Contact.Std() / waitShare,
-		MaxWait:     mostWait,
-		MinBackoff:  storePause,
-		MaxBackoff:  min(storePauseMost, b.ConfigApply.Std()/pauseShare),
-		RelistDelay: membership.RestoreSettleFor + settleSlack,
-		ChangePause: b.Drain.Std() / gatherShare, // the rest is for telling targets' leaving on
+		Wait:        b.Contact.Std() / watchesPerBound,
+		MaxWait:     maxStoreWait,
+		MinBackoff:  minStoreBackoff,
+		MaxBackoff:  min(maxStoreBackoff, b.ConfigApply.Std()/backoffsPerBound),
+		RelistDelay: membership.RestoreSettleFor + relistSlack,
+		ChangePause: b.Drain.Std() / changePausesPerBound, // the rest of the bound is for notifying peers of leaving targets
 	}
 }
 
-// run follows until ctx ends.
+// run follows the kind until ctx ends.
 func (f *recordFollower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		boxes, place := f.among()
-		f.follower.SetPeers(boxes, place)
+		boxes, position := f.peers()
+		f.follower.SetPeers(boxes, position)
 		f.follower.SetDelegated(f.delegated())
-		f.follower.CaughtUpFromPeers(clock.Now(), f.known())
+		f.follower.CaughtUpFromPeers(clock.Now(), f.knownPosition())
 		f.follower.ObserveEra(f.era())
 		switch c := f.follower.Next(clock.Now()).(type) {
 		case follow.List:
@@ -90,56 +94,57 @@
 func (f *recordFollower) list(ctx context.Context) {
 	began := clock.Now()
 	l, err := f.feed.List(ctx, f.kind)
-	f.called("list", began, err)
+	f.recordCall("list", began, err)
 	f.follower.Listed(clock.Now(), l.At, err)
 	if err == nil {
-		f.listed(l)
+		f.onList(l)
 	}
 }
 
 func (f *recordFollower) watch(ctx context.Context, w follow.Watch) {
 	began := clock.Now()
-	watching, cancel := context.WithCancel(ctx)
+	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	given := make(chan struct{})
-	defer close(given)
-	go f.limitWait(given, cancel, began)
-	c, err := f.feed.Watch(watching, f.kind, w.Since, w.Wait)
-	if err != nil && watching.Err() != nil && ctx.Err() == nil {
-		c, err = store.Changes{At: w.Since}, nil // it was given up, which is no fault of the store's
-	}
-	f.called("watch", began, err)
+	returned := make(chan struct{})
+	defer close(returned)
+	go f.limitWait(returned, cancel, began)
+	c, err := f.feed.Watch(watchCtx, f.kind, w.Since, w.Wait)
+	if err != nil && watchCtx.Err() != nil && ctx.Err() == nil {
+		c, err = store.Changes{At: w.Since}, nil // limitWait cancelled the watch, the store did not fail
+	}
+	f.recordCall("watch", began, err)
 	now := clock.Now()
 	if f.follower.Watched(now, c.At, err) && len(c.Events) > 0 {
 		f.follower.Changed(now)
-		f.changed(c)
+		f.onChanges(c)
 	}
 }
 
-// checkEvery is the time between two looks whether a watch waits for too long.
-const checkEvery = 250 * time.Millisecond
+// waitCheckInterval is the time between two checks of whether a watch waits too long.
+const waitCheckInterval = 250 * time.Millisecond
 
-// limitWait gives a watch up that was to wait long since many boxes share the watching, once
-// too few of them are left: nobody would notify this box that it was silently dropped.
-func (f *recordFollower) limitWait(given <-chan struct{}, cancel context.CancelFunc, began time.Time) {
-	look := time.NewTicker(checkEvery)
-	defer look.Stop()
+// limitWait cancels a watch that was started with a long wait because many boxes shared the watching,
+// once too few of them are left: no other box would notify this one of changes if the store had
+// silently dropped the watch.
+func (f *recordFollower) limitWait(returned <-chan struct{}, cancel context.CancelFunc, began time.Time) {
+	ticker := time.NewTicker(waitCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-given:
+		case <-returned:
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
-		boxes, _ := f.among()
-		if clock.Since(began) > f.pace.WaitFor(boxes)+checkEvery {
+		boxes, _ := f.peers()
+		if clock.Since(began) > f.timing.WaitFor(boxes)+waitCheckInterval {
 			cancel()
 			return
 		}
 	}
 }
 
-// called counts a call, and logs when the store is lost or answers again.
-func (f *recordFollower) called(call string, began time.Time, err error) {
+// recordCall counts a call to the store, and logs when the store starts to fail or answers again.
+func (f *recordFollower) recordCall(call string, began time.Time, err error) {
 	name := call + " " + string(f.kind)
 	f.common.Metrics.Observe(telemetry.StoreCalls, name, clock.Since(began))
 	if err != nil {
@@ -147,93 +152,94 @@
 	} else {
 		f.common.Metrics.Count(telemetry.PlatformCalls, name, 1)
 	}
-	lost := err != nil && !isHistoryLost(err)
-	f.healthy.Store(!lost)
-	if lost {
-		f.lost()
+	failing := err != nil && !isHistoryLost(err)
+	f.healthy.Store(!failing)
+	if failing {
+		f.onFailure()
 	}
-	if lost != f.wasLost {
-		f.wasLost = lost
-		f.logState(lost, err)
+	if failing != f.failing {
+		f.failing = failing
+		f.logAvailability(failing, err)
 	}
 }
 
-func (f *recordFollower) logState(lost bool, err error) {
-	if lost {
+func (f *recordFollower) logAvailability(failing bool, err error) {
+	if failing {
 		f.common.Log.Warn("store lost", "kind", f.kind, "known_to", f.follower.Position(), "err", err)
 		return
 	}
 	f.common.Log.Info("store answers again", "kind", f.kind, "away", clock.Since(f.follower.FailingSince()))
 }
 
-// followConfiguration follows the operator's configuration.
+// followConfiguration returns the follower of the operator's configuration.
 func (e *Entry) followConfiguration(feed store.Feed) *recordFollower {
-	take := func(r store.Record) {
+	apply := func(r store.Record) {
 		if r.Name == platform.Configuration {
-			e.view.configuration(r.Spec, r.At, "store")
+			e.view.applyConfiguration(r.Spec, r.At, "store")
 		}
 	}
-	f := e.following(feed, platform.Configurations)
-	f.listed = func(l store.Listing) {
+	f := e.newRecordFollower(feed, platform.Configurations)
+	f.onList = func(l store.Listing) {
 		for _, r := range l.Records {
-			take(r)
+			apply(r)
 		}
 	}
-	f.changed = func(c store.Changes) {
+	f.onChanges = func(c store.Changes) {
 		for _, ev := range c.Events {
 			if !ev.Removed {
-				take(ev.Record)
+				apply(ev.Record)
 			}
 		}
 	}
-	f.lost = func() {}
-	f.known = func() store.Position {
+	f.onFailure = func() {}
+	f.knownPosition = func() store.Position {
 		_, edition := e.view.document()
 		return edition.At
 	}
 	return f
 }
 
-// followTargets follows the list of targets.
+// followTargets returns the follower of the list of targets.
 func (e *Entry) followTargets(feed store.Feed) *recordFollower {
-	f := e.following(feed, platform.Targets)
-	f.listed = func(l store.Listing) {
+	f := e.newRecordFollower(feed, platform.Targets)
+	f.onList = func(l store.Listing) {
 		events := make([]store.Event, 0, len(l.Records))
 		for _, r := range l.Records {
 			events = append(events, store.Event{Record: r})
 		}
 		if l.Nameless > 0 {
-			e.common.Log.Error("records without a name", "kind", platform.Targets, "records", l.Nameless, "at", l.At)
+			e.common.Log.Error("store listed records without a name, ignoring them", "kind", platform.Targets, "records", l.Nameless, "at", l.At)
 		}
-		e.view.targets(l.At, e.view.decodeTargets(events), "store")
+		e.view.applyTargets(l.At, e.view.decodeTargets(events), "store")
 	}
-	f.changed = func(c store.Changes) {
-		e.view.changes(c.At, e.view.decodeTargets(c.Events), "store")
+	f.onChanges = func(c store.Changes) {
+		e.view.applyChanges(c.At, e.view.decodeTargets(c.Events), "store")
 	}
-	f.known = func() (at store.Position) {
+	f.knownPosition = func() (at store.Position) {
 		e.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { at = r.At() })
 		return at
 	}
-	f.lost = func() {
+	f.onFailure = func() {
 		e.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.StoreUnavailable(clock.Now()) })
 	}
 	return f
 }
 
-func (e *Entry) following(feed store.Feed, kind store.Kind) *recordFollower {
+// newRecordFollower returns a follower of the kind; the caller sets its remaining functions.
+func (e *Entry) newRecordFollower(feed store.Feed, kind store.Kind) *recordFollower {
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	p := pace(e.settings().Bounds)
+	timing := followTiming(e.settings().Bounds)
 	if e.settings().FirstStart {
-		p.MaxStartDelay = firstPause
+		timing.MaxStartDelay = maxFirstStartDelay
 	}
 	if kind == platform.Configurations {
-		p.ChangePause = 0 // it seldom changes, and is to be in force at once
-		p.RelistDelay = 0 // its version orders it
+		timing.ChangePause = 0 // changes are rare, and take effect at once
+		timing.RelistDelay = 0 // the versions of the documents order them, also after a restore
 	}
 	return &recordFollower{
-		pace:   p,
-		common: e.common, feed: feed, kind: kind, among: e.hallPoller.followers, delegated: e.hallPoller.hubFollows,
-		follower: follow.New(p, rnd), era: func() store.Era { return e.timeline.latest().Era() },
+		timing: timing,
+		common: e.common, feed: feed, kind: kind, peers: e.hallPoller.storeFollowers, delegated: e.hallPoller.hubFollowsStore,
+		follower: follow.New(timing, rnd), era: func() store.Era { return e.timeline.latest().Era() },
 	}
 }
 
--- a/node/suspended.go
+++ b/node/suspended.go
@@ -7,10 +7,11 @@
 	"clovertrail.dev/telemetry"
 )
 
-// onSuspended reports that the machine was onSuspended, or that this cannot be found out.
+// onSuspended handles a suspension of the machine of the given duration, or the error for which
+// suspensions cannot be detected.
 func (p *loaded) onSuspended(d time.Duration, err error) {
 	if err != nil {
-		p.common.Log.Error("clocks not read, suspensions of the machine go unnoticed", "err", err)
+		p.common.Log.Error("reading the clocks failed, suspensions of the machine are not detected", "err", err)
 		return
 	}
 	p.common.Metrics.Count(telemetry.Suspensions, "", int(math.Ceil(d.Seconds())))
@@ -18,5 +19,6 @@
 	p.woken()
 }
 
-// CatchUpAfterSuspension makes the box look at once for what it missed while its machine was suspended.
+// CatchUpAfterSuspension starts a round of adverts at once, as the box may have missed updates while
+// its machine was suspended.
 func (e *Entry) CatchUpAfterSuspension() { e.peering.notify() }
--- a/node/timeline.go
+++ b/node/timeline.go
@@ -10,8 +10,8 @@
 	"clovertrail.dev/telemetry"
 )
 
-// timeline guards what the box knows of how far the store has come, from the store's answers and
-// from other boxes.
+// timeline tracks the latest position of the store that this box has observed, in responses of the
+// store and in messages of other boxes. It is safe for concurrent use.
 //
 // Lock order: mu is the only lock.
 type timeline struct {
@@ -27,20 +27,20 @@
 	return t.known.Latest()
 }
 
-// observeEra takes the era of an answer of the store.
+// observeEra records the era that a response of the store states, if it is accepted.
 func (t *timeline) observeEra(era store.Era) {
 	t.mu.Lock()
 	accepted := t.known.Accept(era)
 	known := t.known.Latest()
 	t.mu.Unlock()
 	if !accepted {
-		t.common.Log.Warn("store states an era that is too high, waiting for it to state it again", "era", era, "known", known)
+		t.common.Log.Warn("store states an era that is too high, waiting for a second response with it", "era", era, "known", known)
 		return
 	}
 	t.observe(store.PositionOf(era, 0), "store")
 }
 
-// observe takes a position that the source reported.
+// observe records a position that the source reported.
 func (t *timeline) observe(p store.Position, source string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -50,16 +50,16 @@
 	}
 	t.common.Metrics.Set(telemetry.StoreEra, "", float64(p.Era()))
 	if before.Era() == 0 {
-		t.common.Log.Info("store era", "era", p.Era(), "source", source)
+		t.common.Log.Info("first era of the store observed", "era", p.Era(), "source", source)
 		return
 	}
-	t.common.Log.Warn("store was restored from a copy, listing anew", "era", p.Era(), "before", before, "source", source)
+	t.common.Log.Warn("store was restored from a backup, listing its records again", "era", p.Era(), "before", before, "source", source)
 }
 
-// errEraDoubted is the error for an answer whose era was not accepted; the call is made again.
-var errEraDoubted = errors.Join(store.ErrUnavailable, errors.New("the era of the answer is not confirmed"))
+// errEraUnconfirmed is returned for a response whose era was not accepted; the caller retries the call.
+var errEraUnconfirmed = errors.Join(store.ErrUnavailable, errors.New("era of the store's response not confirmed by a second response"))
 
-// eraStore is the store with complete positions in its answers.
+// eraStore wraps a record store and fills in the era in the positions of responses that state none.
 type eraStore struct {
 	store.RecordStore
 	timeline *timeline
@@ -73,7 +73,7 @@
 		return l, err
 	}
 	if l.At.Era() > c.timeline.latest().Era() {
-		return store.Listing{}, errEraDoubted
+		return store.Listing{}, errEraUnconfirmed
 	}
 	l = l.InferEra(sent)
 	c.timeline.observe(l.At, "store")
@@ -87,7 +87,7 @@
 		return changes, err
 	}
 	if changes.At.Era() > c.timeline.latest().Era() {
-		return store.Changes{}, errEraDoubted
+		return store.Changes{}, errEraUnconfirmed
 	}
 	changes = changes.InferEra(since)
 	c.timeline.observe(changes.At, "store")
--- a/node/view.go
+++ b/node/view.go
@@ -14,30 +14,31 @@
 	"clovertrail.dev/telemetry"
 )
 
-// view is what the box knows: the configuration, and through the
-// fleet the targets. It takes news from the store and from peers alike.
+// view holds the box's copy of the records of the store: the configuration, and through the fleet
+// the targets. It applies updates from the store and from peers alike.
 //
 // Lock order: mu, then the fleet's.
 type view struct {
 	common  telemetry.Common
 	fleet   *fleet
 	adopt   func(*catalog.Catalog) // called with each newer configuration
-	changed func()                 // called after news of any kind
+	changed func()                 // called after each update that changed the configuration or a target
 
 	mu     sync.Mutex
 	holder catalog.Holder
 }
 
-// configuration takes a document from the source.
-func (v *view) configuration(raw []byte, at store.Position, source string) {
+// applyConfiguration applies a configuration document from the source, unless a later one is in
+// force.
+func (v *view) applyConfiguration(raw []byte, at store.Position, source string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	before := v.holder.Edition()
-	moved, err := v.holder.Offer(raw, at, platform.DecodeConfiguration)
+	newer, err := v.holder.Offer(raw, at, platform.DecodeConfiguration)
 	switch {
 	case err != nil:
-		v.common.Log.Error("configuration rejected, the one before stays in force", "at", at, "source", source, "in_force", before.Version, "err", err)
-	case moved:
+		v.common.Log.Error("configuration rejected, the previous one stays in force", "at", at, "source", source, "in_force", before.Version, "err", err)
+	case newer:
 		c := v.holder.Current()
 		v.common.Metrics.Count(telemetry.ConfigApplied, source, 1)
 		v.common.Metrics.Set(telemetry.ConfigSeq, "", float64(c.Version()))
@@ -49,54 +50,55 @@
 	}
 }
 
-// document is the configuration in force as the store keeps it.
+// document returns the configuration in force as it is stored, and its edition.
 func (v *view) document() ([]byte, catalog.Edition) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.holder.Raw(), v.holder.Edition()
 }
 
-// targets takes the whole list of targets.
-func (v *view) targets(at store.Position, news []membership.TargetUpdate, source string) {
+// applyTargets applies a complete list of targets from the source.
+func (v *view) applyTargets(at store.Position, list []membership.TargetUpdate, source string) {
 	now := clock.Now()
-	var fresh []membership.TargetUpdate
+	var applied []membership.TargetUpdate
 	var known store.Position
 	v.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		known = r.At()
-		fresh = r.ApplyList(now, at, news)
+		applied = r.ApplyList(now, at, list)
 	})
 	if known.After(at) {
 		v.common.Log.Warn("list of targets ignored, a later one is known", "at", at, "source", source, "known", known)
 	}
 	v.fleet.forget(now)
-	v.logNews(fresh, source)
+	v.reportUpdates(applied, source)
 }
 
-// changes takes changes of the list of targets.
-func (v *view) changes(at store.Position, news []membership.TargetUpdate, source string) {
+// applyChanges applies changes of the list of targets from the source.
+func (v *view) applyChanges(at store.Position, updates []membership.TargetUpdate, source string) {
 	now := clock.Now()
-	var fresh []membership.TargetUpdate
+	var applied []membership.TargetUpdate
 	v.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
-		for _, n := range news {
-			fresh = append(fresh, r.ApplyUpdate(now, n)...)
+		for _, u := range updates {
+			applied = append(applied, r.ApplyUpdate(now, u)...)
 		}
 		r.CaughtUp(at)
 	})
 	v.fleet.forget(now)
-	v.logNews(fresh, source)
+	v.reportUpdates(applied, source)
 }
 
-func (v *view) logNews(fresh []membership.TargetUpdate, source string) {
-	if len(fresh) > 0 {
+// reportUpdates calls changed if any updates were applied, and logs each.
+func (v *view) reportUpdates(applied []membership.TargetUpdate, source string) {
+	if len(applied) > 0 {
 		v.changed()
 	}
-	for _, n := range fresh {
-		if n.Target == nil {
-			v.common.Log.Info("target gone", "target", n.ID, "at", n.At, "source", source, "unusable", n.Unusable)
+	for _, u := range applied {
+		if u.Target == nil {
+			v.common.Log.Info("target gone", "target", u.ID, "at", u.At, "source", source, "unusable", u.Unusable)
 			continue
 		}
-		t := *n.Target
-		attrs := []any{"target", n.ID, "state", t.State(), "service", t.Service(), "address", t.Address(), "at", n.At, "source", source}
+		t := *u.Target
+		attrs := []any{"target", u.ID, "state", t.State(), "service", t.Service(), "address", t.Address(), "at", u.At, "source", source}
 		if g, ok := t.Rank(); ok {
 			attrs = append(attrs, "group", g.Group, "epoch", g.Epoch, "rank", g.Number, "open", g.Open)
 		}
@@ -104,27 +106,29 @@
 	}
 }
 
-// decodeTargets turns records into news. One that does not decode is logged and names no
-// target to use; the others go on.
+// decodeTargets decodes the records of the events into target updates. The update for a record that
+// cannot be decoded is marked as unusable and has no target; the other records are not affected.
 func (v *view) decodeTargets(events []store.Event) []membership.TargetUpdate {
 	var list []membership.TargetUpdate
 	for _, e := range events {
-		n := membership.TargetUpdate{ID: domain.InstanceID(e.Record.Name), At: e.Record.At}
+		u := membership.TargetUpdate{ID: domain.InstanceID(e.Record.Name), At: e.Record.At}
 		if !e.Removed {
-			n = v.decodeTarget(n, e.Record)
+			u = v.decodeTarget(u, e.Record)
 		}
-		list = append(list, n)
+		list = append(list, u)
 	}
 	return list
 }
 
-func (v *view) decodeTarget(n membership.TargetUpdate, r store.Record) membership.TargetUpdate {
+// decodeTarget returns the update u with the target in the record. It logs a record that cannot be
+// decoded.
+func (v *view) decodeTarget(u membership.TargetUpdate, r store.Record) membership.TargetUpdate {
 	t, err := platform.DecodeTarget(r)
 	if err != nil {
-		v.common.Log.Error("target entry rejected", "target", r.Name, "at", r.At, "err", err)
-		n.Unusable = true
-		return n
+		v.common.Log.Error("target entry rejected, the target is not used", "target", r.Name, "at", r.At, "err", err)
+		u.Unusable = true
+		return u
 	}
-	n.ID, n.Target = t.ID(), &t
-	return n
+	u.ID, u.Target = t.ID(), &t
+	return u
 }
