--- a/node/agent_poller.go
+++ b/node/agent_poller.go
@@ -49,9 +49,9 @@
 }
 
 // run runs a poll loop for each agent that this box queries, until ctx ends.
-func (w *agentPoller) run(ctx context.Context) {
+func (p *agentPoller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.updateLoops(ctx)
+		p.updateLoops(ctx)
 		clock.SleepUntil(ctx, clock.Now().Add(agentPollInterval))
 	}
 }
@@ -59,39 +59,39 @@
 // updateLoops starts and stops poll loops. There is no loop for a target whose status this box
 // receives from others, so that a hundred boxes do not each wake twice a second for each of 200
 // targets.
-func (w *agentPoller) updateLoops(ctx context.Context) {
-	w.halls.updateRole(ctx)
+func (p *agentPoller) updateLoops(ctx context.Context) {
+	p.halls.updateRole(ctx)
 	var ranks []domain.Target
-	w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { ranks = r.Ranks() })
+	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { ranks = r.Ranks() })
 	listed := map[domain.InstanceID]bool{}
-	polled := w.halls.targetsToPoll(ranks)
+	polled := p.halls.targetsToPoll(ranks)
 	for _, t := range ranks {
 		listed[t.ID()] = true
-		w.halls.startLoop(ctx, t.Hall())
-		if _, running := w.agents[t.ID()]; !running && polled[t.ID()] {
+		p.halls.startLoop(ctx, t.Hall())
+		if _, running := p.agents[t.ID()]; !running && polled[t.ID()] {
 			actx, cancel := context.WithCancel(ctx)
-			w.agents[t.ID()] = cancel
-			go w.poll(actx, t.ID())
+			p.agents[t.ID()] = cancel
+			go p.poll(actx, t.ID())
 		}
 	}
-	for id, cancel := range w.agents {
+	for id, cancel := range p.agents {
 		if !polled[id] {
 			cancel()
-			delete(w.agents, id)
+			delete(p.agents, id)
 		}
 	}
-	w.halls.forget(func(id domain.InstanceID) bool { return listed[id] })
+	p.halls.forget(func(id domain.InstanceID) bool { return listed[id] })
 }
 
 // poll queries the agent of one target until ctx ends.
-func (w *agentPoller) poll(ctx context.Context, id domain.InstanceID) {
+func (p *agentPoller) poll(ctx context.Context, id domain.InstanceID) {
 	update := telling.NewGroupUpdate(rand.Float64())
 	pause := agentPollInterval
 	for ctx.Err() == nil {
-		pollers := w.pollers(id)
+		pollers := p.pollers(id)
 		usual := pollInterval(pollers)
 		update.Among(pollers)
-		if err := w.query(ctx, id, update); err != nil {
+		if err := p.query(ctx, id, update); err != nil {
 			pause = max(min(pause*2, maxAgentPollPause), usual)
 		} else {
 			pause = usual
@@ -105,16 +105,16 @@
 
 // pollers returns how many boxes query the target's agent, including this one: the boxes of its
 // hall, or the hubs of its hall, or all boxes if the agent is in another hall.
-func (w *agentPoller) pollers(id domain.InstanceID) int {
-	hall := domain.HallName(w.entry.settings().Hall)
+func (p *agentPoller) pollers(id domain.InstanceID) int {
+	hall := domain.HallName(p.entry.settings().Hall)
 	switch {
-	case w.hallOf(id) != hall:
-		boxes, _ := w.entry.peering.reachable()
+	case p.hallOf(id) != hall:
+		boxes, _ := p.entry.peering.reachable()
 		return boxes
-	case w.halls.hasRole(membership.Hub):
+	case p.halls.hasRole(membership.Hub):
 		return membership.HubsPerHall
 	default:
-		return w.entry.peering.countInHall(hall)
+		return p.entry.peering.countInHall(hall)
 	}
 }
 
@@ -124,59 +124,59 @@
 	return agentPollInterval * time.Duration(max(boxes, fullRatePollers)) / fullRatePollers
 }
 
-func (w *agentPoller) hallOf(id domain.InstanceID) domain.HallName {
+func (p *agentPoller) hallOf(id domain.InstanceID) domain.HallName {
 	var t domain.Target
-	w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { t, _ = r.Get(id) })
+	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { t, _ = r.Get(id) })
 	return t.Hall()
 }
 
 // query queries the target's agent, and sends it the members of its group if the response shows
 // that they are due.
-func (w *agentPoller) query(ctx context.Context, id domain.InstanceID, u *telling.GroupUpdate) error {
-	address, epoch, ok := w.agent(id)
+func (p *agentPoller) query(ctx context.Context, id domain.InstanceID, u *telling.GroupUpdate) error {
+	address, epoch, ok := p.agent(id)
 	if !ok {
 		return nil
 	}
-	report, err := w.send(ctx, address, &mesh.WatchQuery{Epoch: epoch})
+	report, err := p.send(ctx, address, &mesh.WatchQuery{Epoch: epoch})
 	if err != nil {
 		if hostUnresponsive(err) {
-			w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.Unreachable(clock.Now(), id) })
-			w.halls.statuses.Missed(id)
+			p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.Unreachable(clock.Now(), id) })
+			p.halls.statuses.Missed(id)
 		}
 		return err
 	}
 	if !id.Speaks(report.Born) {
-		w.handleOtherInstance(id, report.Born)
+		p.handleOtherInstance(id, report.Born)
 		return nil
 	}
-	w.halls.statuses.Saw(clock.Now(), id, report)
-	w.applyReport(id, report)
+	p.halls.statuses.Saw(clock.Now(), id, report)
+	p.applyReport(id, report)
 	if report.Leaving {
-		w.entry.fleet.leaves(clock.Now(), id, "agent")
+		p.entry.fleet.leaves(clock.Now(), id, "agent")
 	}
 	u.Acknowledged(report.Knows)
 	if !u.Due(clock.Now(), epoch) {
 		return nil
 	}
-	_, err = w.send(ctx, address, w.groupUpdate(id))
+	_, err = p.send(ctx, address, p.groupUpdate(id))
 	return err
 }
 
 // handleOtherInstance handles a report of another start of the engine than the one queried. A later
 // start has replaced the queried one, and receives work once the list of targets has it; the report
 // of an earlier start is ignored.
-func (w *agentPoller) handleOtherInstance(id domain.InstanceID, born domain.Born) {
-	w.entry.common.Log.Warn("agent reported another start of the engine than the listed one, waiting for the list of targets", "target", id, "born", born)
+func (p *agentPoller) handleOtherInstance(id domain.InstanceID, born domain.Born) {
+	p.entry.common.Log.Warn("agent reported another start of the engine than the listed one, waiting for the list of targets", "target", id, "born", born)
 	if born > id.Born() {
-		w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.Replaced(id) })
+		p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.Replaced(id) })
 	}
 }
 
 // send sends the request to the agent at the address and returns its report.
-func (w *agentPoller) send(ctx context.Context, address string, q *mesh.WatchQuery) (*mesh.RankReport, error) {
+func (p *agentPoller) send(ctx context.Context, address string, q *mesh.WatchQuery) (*mesh.RankReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, agentPollTimeout)
 	defer cancel()
-	return mesh.Call[mesh.WatchQuery, mesh.RankReport](ctx, w.mesh, address, mesh.Watch, q)
+	return mesh.Call[mesh.WatchQuery, mesh.RankReport](ctx, p.mesh, address, mesh.Watch, q)
 }
 
 // hostUnresponsive reports whether the target's box did not respond at all: a box on which only the
@@ -187,15 +187,15 @@
 }
 
 // agent returns the address of the target's agent, and the listed epoch of its group.
-func (w *agentPoller) agent(id domain.InstanceID) (string, orders.Epoch, bool) {
+func (p *agentPoller) agent(id domain.InstanceID) (string, orders.Epoch, bool) {
 	var target domain.Target
 	var known bool
-	w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { target, known = r.Get(id) })
+	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { target, known = r.Get(id) })
 	own, grouped := target.Rank()
 	if !known || !grouped {
 		return "", 0, false
 	}
-	return w.agentAddress(target), orders.Epoch(own.Epoch), true
+	return p.agentAddress(target), orders.Epoch(own.Epoch), true
 }
 
 // maxHallForwarders is how many other entry boxes of this hall an agent is sent as forwarders: a few
@@ -203,9 +203,9 @@
 const maxHallForwarders = 8
 
 // forwarders returns the addresses of this box and of some others of its hall.
-func (w *agentPoller) forwarders() []string {
-	list := []string{w.entry.settings().Peers}
-	for _, c := range w.entry.peering.inHall(domain.HallName(w.entry.settings().Hall)) {
+func (p *agentPoller) forwarders() []string {
+	list := []string{p.entry.settings().Peers}
+	for _, c := range p.entry.peering.inHall(domain.HallName(p.entry.settings().Hall)) {
 		if len(list) <= maxHallForwarders {
 			list = append(list, c.Address)
 		}
@@ -215,15 +215,15 @@
 
 // groupUpdate returns a request with what the agent cannot find out by itself: the members of its
 // group, if all are listed in one epoch, and the processes that forward orders for it.
-func (w *agentPoller) groupUpdate(id domain.InstanceID) *mesh.WatchQuery {
+func (p *agentPoller) groupUpdate(id domain.InstanceID) *mesh.WatchQuery {
 	var target domain.Target
 	var updates []membership.TargetUpdate
-	w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
+	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		target, _ = r.Get(id)
 		updates = r.All()
 	})
 	own, _ := target.Rank()
-	q := &mesh.WatchQuery{Epoch: orders.Epoch(own.Epoch), Shape: w.mapShape(target.Service()), Helpers: w.forwarders()}
+	q := &mesh.WatchQuery{Epoch: orders.Epoch(own.Epoch), Shape: p.mapShape(target.Service()), Helpers: p.forwarders()}
 	entries := len(q.Helpers)
 	for _, u := range updates {
 		r, ok := u.Target.Rank()
@@ -231,11 +231,11 @@
 		case !ok || u.Target.Service() != target.Service():
 		case r.Group == own.Group && r.Epoch == own.Epoch:
 			q.Members = append(q.Members, mesh.Member{
-				Rank: r.Number, Instance: u.ID, Target: u.Target.Address(), Agent: w.agentAddress(*u.Target),
+				Rank: r.Number, Instance: u.ID, Target: u.Target.Address(), Agent: p.agentAddress(*u.Target),
 				Hall: u.Target.Hall(),
 			})
 		case r.Group != own.Group && r.Number >= r.Size-otherGroupAgents && len(q.Helpers)-entries < otherGroupAgents:
-			q.Helpers = append(q.Helpers, w.agentAddress(*u.Target))
+			q.Helpers = append(q.Helpers, p.agentAddress(*u.Target))
 		}
 	}
 	if len(q.Members) != own.Size {
@@ -254,13 +254,13 @@
 }
 
 // agentAddress returns the address of the agent on the target's box, for the port of the settings.
-func (w *agentPoller) agentAddress(t domain.Target) string {
-	return agentAddress(t, w.entry.settings().AgentPort)
+func (p *agentPoller) agentAddress(t domain.Target) string {
+	return agentAddress(t, p.entry.settings().AgentPort)
 }
 
 // mapShape returns the shape of the maps of the service's groups; nil if the service has none.
-func (w *agentPoller) mapShape(svc domain.ServiceName) *rebalance.Shape {
-	c := w.entry.gateway.Catalog()
+func (p *agentPoller) mapShape(svc domain.ServiceName) *rebalance.Shape {
+	c := p.entry.gateway.Catalog()
 	if c == nil {
 		return nil
 	}
@@ -275,10 +275,10 @@
 }
 
 // applyReport passes the report of the target's agent to the roster and the balancer.
-func (w *agentPoller) applyReport(id domain.InstanceID, r *mesh.RankReport) {
+func (p *agentPoller) applyReport(id domain.InstanceID, r *mesh.RankReport) {
 	now := clock.Now()
 	own := domain.Rank{Group: r.Group, Epoch: uint64(r.State.Epoch), Number: r.Rank, Size: r.Size, Open: r.State.Open}
-	w.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
+	p.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
 		ros.Reported(now, id, own, uint64(r.State.Step), r.Running > 0)
 		b.Report(now, id, routing.Report{Running: r.Running, Waiting: r.Waiting, Slowdown: r.Pace})
 	})
--- a/node/hall_poller.go
+++ b/node/hall_poller.go
@@ -52,20 +52,20 @@
 }
 
 // report implements mesh.Survey.
-func (s *hallPoller) report(_ context.Context, q *mesh.HallQuery) (*mesh.HallReport, error) {
-	r := s.statuses.Latest(clock.Now(), q.All)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	r.Follows = s.role != membership.Follower && s.storeHealthy != nil && s.storeHealthy()
+func (p *hallPoller) report(_ context.Context, q *mesh.HallQuery) (*mesh.HallReport, error) {
+	r := p.statuses.Latest(clock.Now(), q.All)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	r.Follows = p.role != membership.Follower && p.storeHealthy != nil && p.storeHealthy()
 	return r, nil
 }
 
 // setStoreHealthy sets the function that reports whether this box follows the store and the store
 // answers it.
-func (s *hallPoller) setStoreHealthy(healthy func() bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.storeHealthy = healthy
+func (p *hallPoller) setStoreHealthy(healthy func() bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.storeHealthy = healthy
 }
 
 // hubReliedOnFor is how long a follower relies on a hub after the hub reported that it follows the
@@ -75,58 +75,58 @@
 // storeFollowers returns how many boxes follow the store, and the position of this box among them.
 // If this box is a hub, they are the hubs of all halls, and one of them soon notices a watch that
 // the store has silently dropped; otherwise they are all boxes.
-func (s *hallPoller) storeFollowers() (boxes, position int) {
-	s.mu.Lock()
-	role, own := s.role, s.position
-	halls := slices.Sorted(maps.Keys(s.halls))
-	s.mu.Unlock()
+func (p *hallPoller) storeFollowers() (boxes, position int) {
+	p.mu.Lock()
+	role, own := p.role, p.position
+	halls := slices.Sorted(maps.Keys(p.halls))
+	p.mu.Unlock()
 	if role != membership.Hub {
-		return s.entry.peering.reachable()
+		return p.entry.peering.reachable()
 	}
-	hall := max(slices.Index(halls, s.hall()), 0)
+	hall := max(slices.Index(halls, p.hall()), 0)
 	return membership.HubsPerHall * len(halls), hall*membership.HubsPerHall + own
 }
 
 // hubFollowsStore reports whether a hub of the hall follows the store for this box.
-func (s *hallPoller) hubFollowsStore() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.role == membership.Follower && clock.Since(s.hubFollowsAt) < hubReliedOnFor
+func (p *hallPoller) hubFollowsStore() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.role == membership.Follower && clock.Since(p.hubFollowsAt) < hubReliedOnFor
 }
 
 // updateRole determines the current role of this box in its hall.
-func (s *hallPoller) updateRole(ctx context.Context) {
-	hall := s.hall()
-	self, others := domain.BoxID(s.entry.settings().Box), s.entry.peering.inHall(hall)
+func (p *hallPoller) updateRole(ctx context.Context) {
+	hall := p.hall()
+	self, others := domain.BoxID(p.entry.settings().Box), p.entry.peering.inHall(hall)
 	role := membership.RoleOf(self, others)
-	s.mu.Lock()
-	before := s.role
-	s.role, s.position = role, membership.Position(self, others)
-	s.reporters.SetRole(role)
-	s.mu.Unlock()
+	p.mu.Lock()
+	before := p.role
+	p.role, p.position = role, membership.Position(self, others)
+	p.reporters.SetRole(role)
+	p.mu.Unlock()
 	if role != before {
-		s.entry.common.Log.Info("role in the hall changed", "role", role, "before", before)
+		p.entry.common.Log.Info("role in the hall changed", "role", role, "before", before)
 	}
-	s.startLoop(ctx, hall)
+	p.startLoop(ctx, hall)
 }
 
-func (s *hallPoller) hall() domain.HallName { return domain.HallName(s.entry.settings().Hall) }
+func (p *hallPoller) hall() domain.HallName { return domain.HallName(p.entry.settings().Hall) }
 
 // hasRole reports whether this box has the role.
-func (s *hallPoller) hasRole(r membership.Role) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.role == r
+func (p *hallPoller) hasRole(r membership.Role) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.role == r
 }
 
 // targetsToPoll returns the targets that this box is to query itself.
-func (s *hallPoller) targetsToPoll(ranks []domain.Target) map[domain.InstanceID]bool {
-	now, maxAge := clock.Now(), s.maxReportAge()
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (p *hallPoller) targetsToPoll(ranks []domain.Target) map[domain.InstanceID]bool {
+	now, maxAge := clock.Now(), p.maxReportAge()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	out := map[domain.InstanceID]bool{}
 	for _, t := range ranks {
-		if s.reporters.ShouldQueryTarget(now, t.Hall(), t.ID(), maxAge) {
+		if p.reporters.ShouldQueryTarget(now, t.Hall(), t.ID(), maxAge) {
 			out[t.ID()] = true
 		}
 	}
@@ -135,111 +135,111 @@
 
 // interval returns the time between two requests about a hall. If halls have hubs, only the hubs
 // query other halls; otherwise all boxes do, though not all query the same box.
-func (s *hallPoller) interval() time.Duration {
-	s.mu.Lock()
-	role, halls := s.role, len(s.halls)
-	s.mu.Unlock()
+func (p *hallPoller) interval() time.Duration {
+	p.mu.Lock()
+	role, halls := p.role, len(p.halls)
+	p.mu.Unlock()
 	if role != membership.Standalone {
 		return pollInterval(membership.HubsPerHall * halls)
 	}
-	boxes, _ := s.entry.peering.reachable()
+	boxes, _ := p.entry.peering.reachable()
 	return pollInterval(boxes)
 }
 
 // maxReportAge returns the age up to which this box relies on another box's report of a target. In a
 // hall with hubs, a report passes through two boxes after the one that received it from the target.
-func (s *hallPoller) maxReportAge() time.Duration {
-	return max(minMaxReportAge, 2*(agentPollInterval+s.interval()))
+func (p *hallPoller) maxReportAge() time.Duration {
+	return max(minMaxReportAge, 2*(agentPollInterval+p.interval()))
 }
 
 // forget deletes the report times of the targets for which keep returns false.
-func (s *hallPoller) forget(keep func(domain.InstanceID) bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.reporters.Forget(keep)
+func (p *hallPoller) forget(keep func(domain.InstanceID) bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.reporters.Forget(keep)
 }
 
 // startLoop starts the poll loop of the hall, unless it is running.
-func (s *hallPoller) startLoop(ctx context.Context, hall domain.HallName) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.halls[hall] {
+func (p *hallPoller) startLoop(ctx context.Context, hall domain.HallName) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.halls[hall] {
 		return
 	}
-	s.halls[hall] = true
-	go s.run(ctx, hall)
+	p.halls[hall] = true
+	go p.run(ctx, hall)
 }
 
-func (s *hallPoller) run(ctx context.Context, hall domain.HallName) {
+func (p *hallPoller) run(ctx context.Context, hall domain.HallName) {
 	for ctx.Err() == nil {
-		pause := s.interval()
-		if s.shouldPoll(hall) {
-			s.poll(ctx, hall)
+		pause := p.interval()
+		if p.shouldPoll(hall) {
+			p.poll(ctx, hall)
 		} else {
-			pause = s.maxReportAge() / 2 // then checks whether the hubs still report on the hall
+			pause = p.maxReportAge() / 2 // then checks whether the hubs still report on the hall
 		}
 		clock.SleepUntil(ctx, clock.Now().Add(pause))
 	}
 }
 
 // shouldPoll reports whether this box is to query another box about the hall now.
-func (s *hallPoller) shouldPoll(hall domain.HallName) bool {
-	maxAge := s.maxReportAge()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.reporters.ShouldQueryPeer(clock.Now(), hall, maxAge)
+func (p *hallPoller) shouldPoll(hall domain.HallName) bool {
+	maxAge := p.maxReportAge()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.reporters.ShouldQueryPeer(clock.Now(), hall, maxAge)
 }
 
 // poll queries one box of the hall, if any is reachable.
-func (s *hallPoller) poll(ctx context.Context, hall domain.HallName) {
-	hubs := membership.HubsOf(s.entry.peering.inHall(hall))
-	s.mu.Lock()
-	box, ok := s.reporters.Choose(hall, hubs)
-	s.mu.Unlock()
+func (p *hallPoller) poll(ctx context.Context, hall domain.HallName) {
+	hubs := membership.HubsOf(p.entry.peering.inHall(hall))
+	p.mu.Lock()
+	box, ok := p.reporters.Choose(hall, hubs)
+	p.mu.Unlock()
 	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, hallPollTimeout)
 	defer cancel()
-	report, err := mesh.Call[mesh.HallQuery, mesh.HallReport](ctx, s.entry.mesh, box.Address, mesh.Survey,
-		&mesh.HallQuery{All: hall == s.hall()})
+	report, err := mesh.Call[mesh.HallQuery, mesh.HallReport](ctx, p.entry.mesh, box.Address, mesh.Survey,
+		&mesh.HallQuery{All: hall == p.hall()})
 	if err != nil {
-		s.handleFailure(hall, box.Box, err)
+		p.handleFailure(hall, box.Box, err)
 		return
 	}
-	s.applyReport(hall, box.Box, report)
+	p.applyReport(hall, box.Box, report)
 }
 
 // handleFailure handles a failed request to the box for the report of the hall.
-func (s *hallPoller) handleFailure(hall domain.HallName, box domain.BoxID, err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.reporters.Failed(hall, box) {
-		s.entry.common.Log.Warn("no peer reports on hall, watching its targets directly", "hall", hall, "peer", box, "err", err)
+func (p *hallPoller) handleFailure(hall domain.HallName, box domain.BoxID, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.reporters.Failed(hall, box) {
+		p.entry.common.Log.Warn("no peer reports on hall, watching its targets directly", "hall", hall, "peer", box, "err", err)
 	}
 }
 
 // applyReport passes the statuses in the report to the roster and the balancer, each as of the time
 // at which it was received from its target.
-func (s *hallPoller) applyReport(hall domain.HallName, box domain.BoxID, r *mesh.HallReport) {
+func (p *hallPoller) applyReport(hall domain.HallName, box domain.BoxID, r *mesh.HallReport) {
 	now := clock.Now()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.reporters.Answered(hall, box) {
-		s.entry.common.Log.Info("hall watched through peer", "hall", hall, "peer", box, "targets", len(r.Targets))
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.reporters.Answered(hall, box) {
+		p.entry.common.Log.Info("hall watched through peer", "hall", hall, "peer", box, "targets", len(r.Targets))
 	}
-	if hall == s.hall() {
-		s.hubFollowsAt = time.Time{}
+	if hall == p.hall() {
+		p.hubFollowsAt = time.Time{}
 		if r.Follows {
-			s.hubFollowsAt = now
+			p.hubFollowsAt = now
 		}
 	}
-	s.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
+	p.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
 		for _, x := range r.Targets {
 			at := now.Add(-x.Ago)
 			target, _ := ros.Get(x.ID)
-			s.reporters.Received(target.Hall(), x.ID, at)
-			s.statuses.Receive(at, x)
+			p.reporters.Received(target.Hall(), x.ID, at)
+			p.statuses.Receive(at, x)
 			own := domain.Rank{Epoch: uint64(x.Epoch), Open: x.Open}
 			if ros.Reported(at, x.ID, own, uint64(x.Step), x.Running > 0) {
 				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Slowdown: float64(x.Pace)})
--- a/node/peering.go
+++ b/node/peering.go
@@ -287,7 +287,7 @@
 	}
 	updates, err := got.News()
 	if err != nil {
-		p.entry.common.Log.Error("list of targets from peer rejected, keeping the own one", "peer", c.Box, "err", err)
+		p.entry.common.Log.Error("list of targets from peer rejected, keeping the present one", "peer", c.Box, "err", err)
 		return
 	}
 	p.entry.view.applyTargets(got.At, updates, source)
--- a/node/timeline.go
+++ b/node/timeline.go
@@ -66,30 +66,30 @@
 }
 
 // List implements store.Feed.
-func (c eraStore) List(ctx context.Context, kind store.Kind) (store.Listing, error) {
-	sent := c.timeline.latest()
-	l, err := c.RecordStore.List(ctx, kind)
+func (s eraStore) List(ctx context.Context, kind store.Kind) (store.Listing, error) {
+	sent := s.timeline.latest()
+	l, err := s.RecordStore.List(ctx, kind)
 	if err != nil {
 		return l, err
 	}
-	if l.At.Era() > c.timeline.latest().Era() {
+	if l.At.Era() > s.timeline.latest().Era() {
 		return store.Listing{}, errEraUnconfirmed
 	}
 	l = l.InferEra(sent)
-	c.timeline.observe(l.At, "store")
+	s.timeline.observe(l.At, "store")
 	return l, nil
 }
 
 // Watch implements store.Feed.
-func (c eraStore) Watch(ctx context.Context, kind store.Kind, since store.Position, wait time.Duration) (store.Changes, error) {
-	changes, err := c.RecordStore.Watch(ctx, kind, since, wait)
+func (s eraStore) Watch(ctx context.Context, kind store.Kind, since store.Position, wait time.Duration) (store.Changes, error) {
+	changes, err := s.RecordStore.Watch(ctx, kind, since, wait)
 	if err != nil {
 		return changes, err
 	}
-	if changes.At.Era() > c.timeline.latest().Era() {
+	if changes.At.Era() > s.timeline.latest().Era() {
 		return store.Changes{}, errEraUnconfirmed
 	}
 	changes = changes.InferEra(since)
-	c.timeline.observe(changes.At, "store")
+	s.timeline.observe(changes.At, "store")
 	return changes, nil
 }
