--- a/node/main.go
+++ b/node/main.go
@@ -62,7 +62,7 @@
 	}()
 	leave, changed := onSignal(p.common)
 	go p.watch(changed)
-	go clock.NewWatch(clock.Machine).Run(context.Background(), p.suspended)
+	go clock.NewWatch(clock.Machine).Run(context.Background(), p.onSuspended)
 	err = p.process.Run(leave)
 	close(stopped)
 	<-done
@@ -98,8 +98,8 @@
 	}
 	p := newLoaded(f.Current().Box)
 	e := NewEntry(p.common, process.MachineNetwork(), f.Current)
-	p.woken = e.Woken
-	p.process, p.watch = e, func(signal <-chan struct{}) { f.Watch(p.common.Log, signal, e.Took) }
+	p.woken = e.CatchUpAfterSuspension
+	p.process, p.watch = e, func(signal <-chan struct{}) { f.Watch(p.common.Log, signal, e.ApplySettings) }
 	return p, nil
 }
 
--- /dev/null
+++ b/node/quarantine_sync.go
@@ -0,0 +1,286 @@
+package node
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"clovertrail.dev/core/call"
+	"clovertrail.dev/core/clock"
+	"clovertrail.dev/core/domain"
+	"clovertrail.dev/mesh"
+	"clovertrail.dev/platform"
+	"clovertrail.dev/quarantine"
+	"clovertrail.dev/store"
+	"clovertrail.dev/telemetry"
+)
+
+// quarantineSync holds the box's register of works under which targets ended, and exchanges the
+// register with other boxes and with the store. The store has it because all boxes may end at once,
+// and must not send such work again when they have restarted. It implements gateway.Quarantine.
+//
+// Lock order: mu is the only lock, and no I/O is done under it.
+type quarantineSync struct {
+	common   telemetry.Common
+	notify   func()           // sends updates to other boxes at once
+	isolated func() bool      // reports whether this box receives nothing from other halls, except through the store
+	era      func() store.Era // the latest era of the store that this box has observed
+
+	mu         sync.Mutex
+	register   *quarantine.Register
+	reconciler *quarantine.Reconciler
+	pending    []quarantine.Record // records that this box is to write to the store, oldest first
+	wake       chan struct{}       // makes run write pending records at once
+}
+
+const (
+	// storeReadInterval is the time between two reads of the stored records by a box that has not
+	// read them yet or is isolated, and between a failed call and the next: a third of the time
+	// within which boxes have to receive each other's observations.
+	storeReadInterval = time.Second
+	// maxPendingRecords bounds the records that wait for the store.
+	maxPendingRecords = 64
+)
+
+// Sources of observations other than other boxes.
+const (
+	sourceOwn   = "own"
+	sourceStore = "store"
+)
+
+func newQuarantineSync(c telemetry.Common, notify func(), isolated func() bool, era func() store.Era) *quarantineSync {
+	return &quarantineSync{
+		common: c, notify: notify, isolated: isolated, era: era, register: quarantine.NewRegister(),
+		reconciler: quarantine.NewReconciler(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), wake: make(chan struct{}, 1),
+	}
+}
+
+// QuarantinedUntil implements gateway.Quarantine.
+func (q *quarantineSync) QuarantinedUntil(now time.Time, d call.Digest) (time.Time, bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.register.QuarantinedUntil(now, d)
+}
+
+// TargetEnded implements gateway.Quarantine.
+func (q *quarantineSync) TargetEnded(now time.Time, d call.Digest, id domain.InstanceID) {
+	q.observe(now, quarantine.Observation{Digest: d, Target: id, At: now}, sourceOwn)
+}
+
+// WorkServed implements gateway.Quarantine.
+func (q *quarantineSync) WorkServed(now time.Time, d call.Digest) {
+	q.observe(now, quarantine.Observation{Digest: d, At: now}, sourceOwn)
+}
+
+// observe adds an observation from the source to the register, logs the change, and notifies other
+// boxes if they need it at once.
+func (q *quarantineSync) observe(now time.Time, w quarantine.Observation, source string) {
+	q.mu.Lock()
+	change := q.register.Observe(now, w)
+	q.recordChange(now, w, change, source)
+	quarantined := change == quarantine.Quarantined
+	if quarantined && source == sourceOwn {
+		q.enqueue(w.Digest)
+	}
+	q.mu.Unlock()
+	if quarantined || source == sourceOwn && change != quarantine.Unchanged {
+		q.notify()
+	}
+}
+
+// recordChange logs and counts the change that an observation made; mu is held.
+func (q *quarantineSync) recordChange(now time.Time, w quarantine.Observation, change quarantine.Change, source string) {
+	attrs := []any{"digest", w.Digest, "target", w.Target, "ended", q.register.EndedTargets(w.Digest), "age", now.Sub(w.At), "source", source}
+	switch change {
+	case quarantine.Unchanged:
+	case quarantine.Updated:
+		if w.Target != "" {
+			q.common.Log.Warn("target ended under work", attrs...)
+		}
+	case quarantine.Quarantined:
+		until, _ := q.register.QuarantinedUntil(now, w.Digest)
+		q.common.Metrics.Count(telemetry.Quarantines, sourceKind(source), 1)
+		q.common.Log.Warn("work in quarantine", append(attrs, "left", until.Sub(now))...)
+	case quarantine.Released:
+		q.common.Metrics.Count(telemetry.Quarantines, "released", 1)
+		q.common.Log.Info("work released from quarantine because a target served it", attrs...)
+	}
+}
+
+// sourceKind returns the label of the source for counters. It does not name the box, which keeps the
+// number of series low.
+func sourceKind(source string) string {
+	switch source {
+	case sourceOwn, sourceStore:
+		return source
+	default:
+		return "peer"
+	}
+}
+
+// receive adds the observations that another box sent.
+func (q *quarantineSync) receive(now time.Time, observations []mesh.WorkObservation, source string) {
+	for _, w := range observations {
+		q.observe(now, quarantine.Observation{Digest: w.Digest, Target: w.Target, At: now.Add(-w.Ago)}, source)
+	}
+}
+
+// observations returns the observations to send to other boxes: the recent ones or, if all is set,
+// also those that the boxes may have missed.
+func (q *quarantineSync) observations(now time.Time, all bool) []mesh.WorkObservation {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	var list []mesh.WorkObservation
+	for _, w := range q.register.Latest(now, all) {
+		list = append(list, mesh.WorkObservation{Digest: w.Digest, Target: w.Target, Ago: now.Sub(w.At)})
+	}
+	return list
+}
+
+// enqueue appends the record of the work to the pending ones; mu is held.
+func (q *quarantineSync) enqueue(d call.Digest) {
+	if len(q.pending) >= maxPendingRecords {
+		q.common.Log.Error("quarantine record not written to the store and dropped, too many are pending", "digest", d, "waiting", len(q.pending))
+		return
+	}
+	q.pending = append(q.pending, q.record(d))
+	select {
+	case q.wake <- struct{}{}:
+	default: // run is woken already
+	}
+}
+
+// record returns the record of the work for the store; mu is held.
+func (q *quarantineSync) record(d call.Digest) quarantine.Record {
+	observations := q.register.Observations(d)
+	for i := range observations {
+		observations[i].At = clock.TimeOfDay(observations[i].At)
+	}
+	return quarantine.NewRecord(observations)
+}
+
+// run reads the records of other boxes from the store and writes those of this box, until ctx ends.
+// When the whole system starts for the first time, which first reports, there is nothing to read.
+func (q *quarantineSync) run(ctx context.Context, s store.RecordStore, first bool) {
+	loaded := first
+	ticker := time.NewTicker(storeReadInterval)
+	defer ticker.Stop()
+	for {
+		if compare := q.comparisonDue(); compare || !loaded || q.isolated() {
+			loaded = q.load(ctx, s) || loaded
+		}
+		q.writePending(ctx, s)
+		select {
+		case <-ctx.Done():
+			return
+		case <-q.wake:
+		case <-ticker.C:
+		}
+	}
+}
+
+// comparisonDue reports whether the stored records are to be compared with the register, because the
+// store was restored and may have lost records that this box has.
+func (q *quarantineSync) comparisonDue() bool {
+	now, era := clock.Now(), q.era()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.reconciler.ObserveEra(now, era)
+	if !q.reconciler.Due(now) {
+		return false
+	}
+	if len(q.register.ToPersist(now)) == 0 {
+		q.reconciler.MarkCompared()
+		return false
+	}
+	return true
+}
+
+// compare enqueues the records of this box that the restored store lacks. stored has the names of the
+// records in the store.
+func (q *quarantineSync) compare(now time.Time, stored map[string]bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if !q.reconciler.Due(now) {
+		return
+	}
+	q.reconciler.MarkCompared()
+	for _, d := range q.register.ToPersist(now) {
+		if !stored[q.record(d).Name()] {
+			q.common.Log.Warn("restored store lacks quarantine record, writing it again", "digest", d)
+			q.enqueue(d)
+		}
+	}
+}
+
+// load adds the observations of the stored records, and reports whether the store answered. It removes
+// expired records from the store: nothing else removes them.
+func (q *quarantineSync) load(ctx context.Context, s store.RecordStore) bool {
+	l, err := s.List(ctx, platform.Quarantines)
+	q.recordCall("list", err)
+	if err != nil {
+		return false
+	}
+	now, day, stored := clock.Now(), time.Now(), map[string]bool{}
+	for _, r := range l.Records {
+		stored[r.Name] = true
+		var record quarantine.Record
+		if err := json.Unmarshal(r.Spec, &record); err != nil {
+			q.common.Log.Error("quarantine record of the store cannot be decoded, ignoring it", "record", r.Name, "at", r.At, "err", err)
+			continue
+		}
+		if record.Expired(day) {
+			q.recordCall("remove", s.Remove(ctx, platform.Quarantines, r.Name))
+			continue
+		}
+		for _, w := range record.Observations(now, day) {
+			q.observe(now, w, sourceStore)
+		}
+	}
+	q.compare(now, stored)
+	return true
+}
+
+// nextPending returns the record that has been pending longest.
+func (q *quarantineSync) nextPending() (quarantine.Record, bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.pending) == 0 {
+		return quarantine.Record{}, false
+	}
+	return q.pending[0], true
+}
+
+// writePending writes the pending records to the store, until a call fails.
+func (q *quarantineSync) writePending(ctx context.Context, s store.RecordStore) {
+	for next, ok := q.nextPending(); ok; next, ok = q.nextPending() {
+		spec, err := json.Marshal(next)
+		if err == nil {
+			err = s.Create(ctx, platform.Quarantines, next.Name(), spec)
+		}
+		if errors.Is(err, store.ErrExists) {
+			err = nil // another box wrote it, or an earlier call succeeded though it returned an error
+		}
+		q.recordCall("create", err)
+		if err != nil {
+			return
+		}
+		q.mu.Lock()
+		q.pending = q.pending[1:]
+		q.mu.Unlock()
+	}
+}
+
+// recordCall counts a call to the store, and logs a failed one.
+func (q *quarantineSync) recordCall(call string, err error) {
+	name := call + " " + string(platform.Quarantines)
+	if err == nil {
+		q.common.Metrics.Count(telemetry.PlatformCalls, name, 1)
+		return
+	}
+	q.common.Metrics.Count(telemetry.PlatformCalls, name+" failed", 1)
+	q.common.Log.Warn("call to the store for quarantine records failed, retrying", "call", call, "err", err)
+}
