--- a/experts/rebalance/bound.go
+++ b/experts/rebalance/skewbound.go
@@ -1,9 +1,10 @@
 package rebalance
 
-// Bound is the least load of the hottest ranks over that of even ones that any map of the
-// shape can have under the load: an expert's tokens are split evenly over its copies, and
-// there are only so many places.
-func Bound(s Shape, load Load) float64 {
+// SkewLowerBound returns the lowest skew that any map of the shape can have under the
+// load. The skew is the load of the hottest ranks over that of even ones; it cannot reach 1
+// under every load, since an expert's tokens are split evenly over its copies, and the
+// number of slots is limited.
+func SkewLowerBound(s Shape, load Load) float64 {
 	hot, even := 0.0, 0.0
 	for _, tokens := range load {
 		total := 0.0
@@ -19,14 +20,14 @@
 	return hot / even
 }
 
-// largestCopy is what the copy with the most to do has, if each further place goes to the
-// expert whose copies have the most.
+// largestCopy returns the tokens of the most loaded copy of an expert, if each free slot
+// goes to the expert whose copies have the most.
 func largestCopy(s Shape, tokens []float64) float64 {
 	copies := make([]int, len(tokens))
 	for e := range copies {
 		copies[e] = 1
 	}
-	for free := s.Ranks*s.Places - len(tokens); ; free-- {
+	for free := s.Ranks*s.Slots - len(tokens); ; free-- {
 		hot := -1
 		for e, t := range tokens {
 			if hot < 0 || t/float64(copies[e]) > tokens[hot]/float64(copies[hot]) {
--- /dev/null
+++ b/mapswitch/orders/numbergenerator.go
@@ -0,0 +1,53 @@
+package orders
+
+// NumberGenerator generates the fences and versions of one process. It uses no clock: the
+// clocks of boxes are set back and forth, also while a process is not running, and a
+// process that restarted with its clock behind would generate numbers again that stand for
+// other maps.
+//
+// A version is higher than all that the ranks of the group have reported, and differs from
+// those of every other process by the rank and by a salt, drawn at the start: orders of a
+// process that has ended may still be in transit. A fence is higher than all earlier ones
+// of this process and, as soon as a rank reports that it has received a higher one, exceeds
+// that within a few attempts.
+type NumberGenerator struct {
+	salt      Version
+	lastFence Fence
+}
+
+const (
+	// saltBits is the length of the salt: two processes at one rank get the same salt once
+	// in 65,536 restarts, and even then their versions differ unless their sequence numbers
+	// are equal.
+	saltBits = 16
+	// fenceRaiseFactor and fenceRaiseStep raise the fence above those that ranks have
+	// received: three attempts exceed four million of them.
+	fenceRaiseFactor, fenceRaiseStep = 16, 1000
+	// maxRaisedFence bounds how far the fence is raised: a version derived from a fence
+	// below it fits into 53 bits for groups of up to 512 ranks, which any reader of JSON
+	// reads exactly.
+	maxRaisedFence Fence = 1 << 28
+)
+
+// NewNumberGenerator returns the generator of a process that has not generated any numbers.
+func NewNumberGenerator(salt uint16) *NumberGenerator { return &NumberGenerator{salt: Version(salt)} }
+
+// fence returns a fence higher than all before.
+func (n *NumberGenerator) fence() Fence {
+	n.lastFence++
+	return n.lastFence
+}
+
+// raiseFence raises the next fence, after a rank reported that it received a higher one.
+func (n *NumberGenerator) raiseFence() {
+	if n.lastFence < maxRaisedFence/fenceRaiseFactor {
+		n.lastFence = n.lastFence*fenceRaiseFactor + fenceRaiseStep
+	}
+}
+
+// version returns a version higher than highest for the coordinator at the rank, in a group
+// of the given number of ranks.
+func (n *NumberGenerator) version(highest Version, rank, ranks int) Version {
+	sequence := max(Version(n.fence()), highest/Version(ranks)>>saltBits+1)
+	return (sequence<<saltBits|n.salt)*Version(ranks) + Version(rank)
+}
--- a/node/adverts.go
+++ b/node/adverts.go
@@ -28,11 +28,11 @@
 	limits, apart := p.entry.limiting.reports(now, others), p.entry.limiting.apart(now)
 	limited := p.entry.fleet.knowsLimits()
 	var leavers []domain.InstanceID
-	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { leavers = r.Leavers(now) })
+	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { leavers = r.LeavingTargets(now) })
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := &mesh.Advert{
-		Self: contactOf(p.self, 0), Hall: domain.HallName(p.entry.settings().Hall), Leaving: p.entry.gateway.Leaving(),
+		Self: contactOf(p.self, 0), Hall: domain.HallName(p.entry.settings().Hall), Leaving: p.entry.gateway.Stopping(),
 		Config: own.Config, Targets: own.Targets, News: news,
 		FailureReports: failureReports, Leavers: leavers, Works: works,
 		Limits: limits, Blank: !p.briefed,
@@ -43,7 +43,7 @@
 	if news {
 		return a
 	}
-	for c, ago := range p.boxes.Known(now, passOnMost, passOnFew) {
+	for c, ago := range p.boxes.PeersToAdvertise(now, passOnMost, passOnFew) {
 		a.Known = append(a.Known, contactOf(c, ago))
 	}
 	return a
@@ -51,7 +51,7 @@
 
 // share is how this box shares limits; mu is held.
 func (p *peering) share(now time.Time, apart bool) *mesh.ShareReport {
-	return &mesh.ShareReport{Boxes: p.boxes.Counted(now), Apart: apart, Settled: p.boxes.Settled(now)}
+	return &mesh.ShareReport{Boxes: p.boxes.LimitSharers(now), Apart: apart, Settled: p.boxes.Settled(now)}
 }
 
 func contactOf(c membership.Contact, ago time.Duration) mesh.Contact {
@@ -63,11 +63,11 @@
 }
 
 // shareFrom gives nothing for a box that knows no limits.
-func shareFrom(w *mesh.ShareReport) membership.Share {
+func shareFrom(w *mesh.ShareReport) membership.ShareReport {
 	if w == nil {
-		return membership.Share{}
+		return membership.ShareReport{}
 	}
-	return membership.Share{Boxes: w.Boxes, Apart: w.Apart, Settled: w.Settled}
+	return membership.ShareReport{Boxes: w.Boxes, UsesFallback: w.Apart, Settled: w.Settled}
 }
 
 // failureReports are what boxes report against targets, to be passed on.
@@ -88,7 +88,7 @@
 	}
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		for _, c := range list {
-			if r.TakeFailureReport(now, membership.FailureReport{Target: c.Target, By: c.By, At: now.Add(-c.Ago)}) {
+			if r.ReceiveFailureReport(now, membership.FailureReport{Target: c.Target, By: c.By, At: now.Add(-c.Ago)}) {
 				p.entry.fleet.ejected(c.Target)
 			}
 		}
@@ -96,9 +96,9 @@
 }
 
 // level is how far this box knows what the store holds.
-func (p *peering) level() membership.Level {
+func (p *peering) level() membership.StoreProgress {
 	_, edition := p.entry.view.document()
-	l := membership.Level{Config: edition}
+	l := membership.StoreProgress{Config: edition}
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { l.Targets = r.Newest() })
 	return l
 }
@@ -106,7 +106,7 @@
 // meet implements mesh.Meet.
 func (p *peering) meet(_ context.Context, a *mesh.Advert) (*mesh.Advert, error) {
 	p.mu.Lock()
-	before := p.boxes.Remembers(a.Self.Box)
+	before := p.boxes.LatestIncarnation(a.Self.Box)
 	p.mu.Unlock()
 	p.receive(a)
 	reply := p.advert(a.News, false)
@@ -141,10 +141,10 @@
 	p.entry.limiting.receive(now, a.Limits, "peer "+string(a.Self.Box))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.boxes.Receive(now, contactFrom(a.Self), a.Hall, membership.Level{Config: a.Config, Targets: a.Targets}, a.Leaving)
-	p.boxes.Shares(a.Self.Box, shareFrom(a.Share))
+	p.boxes.Receive(now, contactFrom(a.Self), a.Hall, membership.StoreProgress{Config: a.Config, Targets: a.Targets}, a.Leaving)
+	p.boxes.ReceiveShareReport(a.Self.Box, shareFrom(a.Share))
 	for _, c := range a.Known {
-		p.boxes.ReceiveOf(now, contactFrom(c), c.Ago)
+		p.boxes.ReceiveIndirect(now, contactFrom(c), c.Ago)
 	}
 	p.noteBehind(now, own)
 }
--- a/node/entry.go
+++ b/node/entry.go
@@ -62,8 +62,8 @@
 		func() { e.peering.notify() },
 		func() bool { return e.peering.isolated(clock.Now()) },
 		func() store.Era { return e.timeline.latest().Era() })
-	e.gateway = gateway.New(gateway.Parts{
-		Common: c, Speech: platform.Speech{}, Fleet: e.fleet, Pool: e.pool, Purse: e.budgets.purse,
+	e.gateway = gateway.New(gateway.Dependencies{
+		Common: c, Headers: platform.Speech{}, Fleet: e.fleet, Pool: e.pool, Budget: e.budgets.purse,
 		Quarantine: e.quarantine,
 	})
 	e.peering = newPeering(e)
@@ -119,8 +119,8 @@
 	go e.peering.run(ctx)
 	e.common.Log.Info("started", "hall", e.settings().Hall, "callers", e.settings().Callers, "peers", e.settings().Peers, "store", e.settings().Store)
 	kept := completing{
-		Shelf:    platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.stated),
-		timeline: e.timeline,
+		RecordStore: platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.stated),
+		timeline:    e.timeline,
 	}
 	e.follow(ctx, kept)
 	go e.quarantine.run(ctx, kept, e.settings().FirstStart)
@@ -152,17 +152,17 @@
 }
 
 // listen opens what callers and the platform ask. The door takes callers.
-func (e *Entry) listen(failed chan<- error) (*gateway.Door, error) {
+func (e *Entry) listen(failed chan<- error) (*gateway.Listener, error) {
 	s := process.NewServers(e.network, failed)
 	limits := catalog.DefaultLimits()
-	door := gateway.NewDoor(&http.Server{
+	door := gateway.NewListener(&http.Server{
 		Handler: e.gateway, MaxHeaderBytes: limits.HeaderBytes,
-		ReadHeaderTimeout: limits.Header, IdleTimeout: limits.Idle,
+		ReadHeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout,
 	})
 	if err := s.Serve(door, e.settings().Callers); err != nil {
 		return nil, err
 	}
-	if err := s.Serve(&http.Server{Handler: e.ready, ReadHeaderTimeout: limits.Header}, e.settings().Ready); err != nil {
+	if err := s.Serve(&http.Server{Handler: e.ready, ReadHeaderTimeout: limits.HeaderTimeout}, e.settings().Ready); err != nil {
 		return nil, err
 	}
 	return door, s.ServeMetrics(e.common, e.settings().Metrics)
--- a/node/place.go
+++ b/node/place.go
@@ -28,28 +28,28 @@
 // Witness implements gateway.Lease.
 func (p *place) Witness() string { return p.fleet.witness(p.target) }
 
-// Wanted implements gateway.Lease.
-func (p *place) Wanted(now time.Time) bool {
+// MaySend implements gateway.Lease.
+func (p *place) MaySend(now time.Time) bool {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	id := p.target.ID()
-	if !p.fleet.roster.Wanted(now, id) {
+	if !p.fleet.roster.AcceptsWork(now, id) {
 		return false
 	}
-	return p.fleet.limits.Admits(now, id, p.permitted, p.taken)
+	return p.fleet.limits.MaySend(now, id, p.permitted, p.taken)
 }
 
-// Heard implements gateway.Lease.
-func (p *place) Heard(now time.Time, a call.Answer) {
+// UpdateStatus implements gateway.Lease.
+func (p *place) UpdateStatus(now time.Time, a call.Answer) {
 	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
 		if l := a.Load; l != nil {
 			b.Report(now, p.target.ID(), routing.Report{Running: l.Running, Waiting: l.Waiting})
 		}
 		if until := a.RestUntil(); !until.IsZero() {
-			r.Rests(p.target.ID(), until)
+			r.RestRequested(p.target.ID(), until)
 		}
 		if a.NoRoom(p.target.ID().Listed()) {
-			r.TurnedAway(now, p.target.ID())
+			r.Rejected(now, p.target.ID())
 		}
 	})
 	if a.Leaving {
@@ -58,18 +58,18 @@
 	p.fleet.names(now, p.target.ID(), a.Limit, p.taken)
 }
 
-// Overdue implements gateway.Lease.
-func (p *place) Overdue() {
+// ResponseOverdue implements gateway.Lease.
+func (p *place) ResponseOverdue() {
 	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) { p.reportFailure(clock.Now(), r, b) })
 }
 
 // reportFailure records that it let this box down, unless its whole group
 // stands still, which is no fault of one rank. The fleet is locked.
 func (p *place) reportFailure(now time.Time, r *membership.Roster, b *routing.Balancer) {
-	if !b.Steps(now, p.option) {
+	if !b.IsStepping(now, p.option) {
 		return
 	}
-	tell, ejected := r.LetDown(now, p.target.ID())
+	tell, ejected := r.ReportFailure(now, p.target.ID())
 	if tell {
 		p.fleet.letDown()
 	}
@@ -78,25 +78,25 @@
 	}
 }
 
-// Began implements gateway.Lease.
-func (p *place) Began() {
+// ResponseStarted implements gateway.Lease.
+func (p *place) ResponseStarted() {
 	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.Began(clock.Now(), p.ticket) })
 }
 
-// Drags implements gateway.Lease.
-func (p *place) Drags(now time.Time, tried []domain.InstanceID) bool {
+// IsStraggler implements gateway.Lease.
+func (p *place) IsStraggler(now time.Time, tried []domain.InstanceID) bool {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	return p.fleet.balancer.Drags(now, p.option, p.fleet.options(now, p.target.Service(), tried))
+	return p.fleet.balancer.IsStraggler(now, p.option, p.fleet.options(now, p.target.Service(), tried))
 }
 
-// Paused implements gateway.Lease.
-func (p *place) Paused(pause, aim time.Duration) {
-	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.Paused(clock.Now(), p.option, pause, aim) })
+// ReportEventGap implements gateway.Lease.
+func (p *place) ReportEventGap(pause, aim time.Duration) {
+	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.RecordPause(clock.Now(), p.option, pause, aim) })
 }
 
-// End implements gateway.Lease.
-func (p *place) End(v gateway.Verdict) {
+// Release implements gateway.Lease.
+func (p *place) Release(v gateway.Verdict) {
 	now := clock.Now()
 	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
 		b.Ended(now, p.ticket)
@@ -108,7 +108,7 @@
 			p.reportFailure(now, r, b)
 		case gateway.Full:
 			r.Failed(now, p.target.ID())
-		case gateway.Unreachable, gateway.Gone:
+		case gateway.Unreachable, gateway.ProcessEnded:
 			r.Unreachable(now, p.target.ID())
 		case gateway.Replaced:
 			r.Replaced(p.target.ID())
--- a/node/quarantining.go
+++ b/node/quarantining.go
@@ -31,7 +31,7 @@
 
 	mu       sync.Mutex
 	register *quarantine.Register
-	rewriter *quarantine.Rewriter
+	rewriter *quarantine.Reconciler
 	unkept   []quarantine.Record // that this box is to keep in the store
 	wake     chan struct{}
 }
@@ -54,7 +54,7 @@
 func newQuarantining(c telemetry.Common, news func(), apart func() bool, era func() store.Era) *quarantining {
 	return &quarantining{
 		common: c, news: news, apart: apart, era: era, register: quarantine.NewRegister(),
-		rewriter: quarantine.NewRewriter(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), wake: make(chan struct{}, 1),
+		rewriter: quarantine.NewReconciler(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), wake: make(chan struct{}, 1),
 	}
 }
 
@@ -62,45 +62,45 @@
 func (q *quarantining) Barred(now time.Time, d call.Digest) (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.register.Barred(now, d)
+	return q.register.QuarantinedUntil(now, d)
 }
 
-// Ended implements gateway.Quarantine.
-func (q *quarantining) Ended(now time.Time, d call.Digest, id domain.InstanceID) {
+// TargetEnded implements gateway.Quarantine.
+func (q *quarantining) TargetEnded(now time.Time, d call.Digest, id domain.InstanceID) {
 	q.take(now, quarantine.Observation{Digest: d, Target: id, At: now}, sourceOwn)
 }
 
-// Served implements gateway.Quarantine.
-func (q *quarantining) Served(now time.Time, d call.Digest) {
+// WorkServed implements gateway.Quarantine.
+func (q *quarantining) WorkServed(now time.Time, d call.Digest) {
 	q.take(now, quarantine.Observation{Digest: d, At: now}, sourceOwn)
 }
 
 // take takes a report from the source, logs what it changes, and sees to it that others are notified.
 func (q *quarantining) take(now time.Time, w quarantine.Observation, source string) {
 	q.mu.Lock()
-	change := q.register.Take(now, w)
+	change := q.register.Observe(now, w)
 	q.note(now, w, change, source)
-	barred := change == quarantine.Barred
+	barred := change == quarantine.Quarantined
 	if barred && source == sourceOwn {
 		q.keep(w.Digest)
 	}
 	q.mu.Unlock()
-	if barred || source == sourceOwn && change != quarantine.Nothing {
+	if barred || source == sourceOwn && change != quarantine.Unchanged {
 		q.news()
 	}
 }
 
 // note logs and counts what an observation changed; mu is held.
 func (q *quarantining) note(now time.Time, w quarantine.Observation, change quarantine.Change, source string) {
-	attrs := []any{"digest", w.Digest, "target", w.Target, "ended", q.register.Ended(w.Digest), "age", now.Sub(w.At), "source", source}
+	attrs := []any{"digest", w.Digest, "target", w.Target, "ended", q.register.EndedTargets(w.Digest), "age", now.Sub(w.At), "source", source}
 	switch change {
-	case quarantine.Nothing:
-	case quarantine.News:
+	case quarantine.Unchanged:
+	case quarantine.Updated:
 		if w.Target != "" {
 			q.common.Log.Warn("target ended under work", attrs...)
 		}
-	case quarantine.Barred:
-		until, _ := q.register.Barred(now, w.Digest)
+	case quarantine.Quarantined:
+		until, _ := q.register.QuarantinedUntil(now, w.Digest)
 		q.common.Metrics.Count(telemetry.Quarantines, sourceKind(source), 1)
 		q.common.Log.Warn("work in quarantine", append(attrs, "left", until.Sub(now))...)
 	case quarantine.Released:
@@ -152,16 +152,16 @@
 
 // record is what the store is to keep of the work; mu is held.
 func (q *quarantining) record(d call.Digest) quarantine.Record {
-	observations := q.register.Of(d)
+	observations := q.register.Observations(d)
 	for i := range observations {
 		observations[i].At = clock.TimeOfDay(observations[i].At)
 	}
-	return quarantine.RecordOf(observations)
+	return quarantine.NewRecord(observations)
 }
 
 // run reads what the store keeps, and keeps there what this box finds out, until ctx ends. As
 // the whole system starts for the first time there is nothing to read.
-func (q *quarantining) run(ctx context.Context, s store.Shelf, first bool) {
+func (q *quarantining) run(ctx context.Context, s store.RecordStore, first bool) {
 	loaded := first
 	look := time.NewTicker(lookEvery)
 	defer look.Stop()
@@ -184,12 +184,12 @@
 	now, era := clock.Now(), q.era()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.rewriter.Learned(now, era)
+	q.rewriter.ObserveEra(now, era)
 	if !q.rewriter.Due(now) {
 		return false
 	}
-	if len(q.register.Kept(now)) == 0 {
-		q.rewriter.Compared()
+	if len(q.register.ToPersist(now)) == 0 {
+		q.rewriter.MarkCompared()
 		return false
 	}
 	return true
@@ -202,8 +202,8 @@
 	if !q.rewriter.Due(now) {
 		return
 	}
-	q.rewriter.Compared()
-	for _, d := range q.register.Kept(now) {
+	q.rewriter.MarkCompared()
+	for _, d := range q.register.ToPersist(now) {
 		if !names[q.record(d).Name()] {
 			q.common.Log.Warn("quarantine lost by the store, writing it again", "digest", d)
 			q.keep(d)
@@ -213,7 +213,7 @@
 
 // load takes what the store keeps, and reports whether it answered. What is over there is taken
 // away: nothing else does.
-func (q *quarantining) load(ctx context.Context, s store.Shelf) bool {
+func (q *quarantining) load(ctx context.Context, s store.RecordStore) bool {
 	l, err := s.List(ctx, platform.Quarantines)
 	q.called("list", err)
 	if err != nil {
@@ -227,7 +227,7 @@
 			q.common.Log.Error("quarantine record rejected", "record", r.Name, "at", r.At, "err", err)
 			continue
 		}
-		if kept.Over(day) {
+		if kept.Expired(day) {
 			q.called("remove", s.Remove(ctx, platform.Quarantines, r.Name))
 			continue
 		}
@@ -250,7 +250,7 @@
 }
 
 // keepAll keeps the records that wait, until the store fails.
-func (q *quarantining) keepAll(ctx context.Context, s store.Shelf) {
+func (q *quarantining) keepAll(ctx context.Context, s store.RecordStore) {
 	for next, ok := q.next(); ok; next, ok = q.next() {
 		spec, err := json.Marshal(next)
 		if err == nil {
--- a/node/rank/giving.go
+++ b/node/rank/giving.go
@@ -22,7 +22,7 @@
 // next gives the orders that are due, and logs what ended.
 func (d *groupDuty) next(ctx context.Context) {
 	long := d.telling()
-	d.coord.SetTelling(long)
+	d.coord.SetDistributionTime(long)
 	calls := d.coord.Next(clock.Now())
 	if d.relays != nil {
 		calls = d.giveMany(ctx, calls, long)
@@ -34,7 +34,7 @@
 		}
 		go d.order(ctx, c, call, d.members[c.Rank], orderWithin+long, d.tellers)
 	}
-	for _, o := range d.coord.TakeEnded() {
+	for _, o := range d.coord.TakeOutcomes() {
 		d.ended(o)
 	}
 }
@@ -43,16 +43,16 @@
 func (d *groupDuty) ended(o orders.Outcome) {
 	d.endedAt = clock.Now()
 	d.readAt = time.Time{} // at once: before another change all ranks are to be read
-	d.agent.common.Metrics.Count(telemetry.MapSwitches, string(o.End), 1)
-	took, held := clock.Since(o.Began), time.Duration(0)
+	d.agent.common.Metrics.Count(telemetry.MapSwitches, string(o.Reason), 1)
+	took, held := clock.Since(o.StartedAt), time.Duration(0)
 	if !o.HeldFrom.IsZero() {
 		held = clock.Since(o.HeldFrom)
 	}
-	if o.End == orders.Committed {
+	if o.Reason == orders.Committed {
 		d.noteOverhead(took)
 	}
-	d.log("map change ended", "version", o.Version, "end", o.End, "rank", o.Rank,
-		"copying", o.Copying, "held", held, "after", took)
+	d.log("map change ended", "version", o.Version, "end", o.Reason, "rank", o.Rank,
+		"copying", o.PrepareTime, "held", held, "after", took)
 }
 
 // overheadWeight is the weight of one more change in what changes take beside copies.
@@ -246,7 +246,7 @@
 	d.logOrder(e)
 	d.noteTold(e)
 	if d.coord != nil && e.call.Epoch == d.coord.Epoch() {
-		d.coord.Answered(now, e.call, e.result)
+		d.coord.HandleResult(now, e.call, e.result)
 	}
 }
 
@@ -270,7 +270,7 @@
 func (d *groupDuty) telling() time.Duration {
 	each := d.tellingOne()
 	if d.told.All(d.size) {
-		each = min(each, d.sending(d.rows*(d.shape.Places+rowHead)*placeBytes, 1))
+		each = min(each, d.sending(d.rows*(d.shape.Slots+rowHead)*placeBytes, 1))
 	}
 	if d.relays != nil {
 		parts := max(d.relays.Parts(), 1)
@@ -281,5 +281,5 @@
 
 // tellingOne is how long it takes to send one rank a whole map.
 func (d *groupDuty) tellingOne() time.Duration {
-	return d.sending(d.shape.Layers*d.size*d.shape.Places*placeBytes, 1)
+	return d.sending(d.shape.Layers*d.size*d.shape.Slots*placeBytes, 1)
 }
--- a/node/rank/planning.go
+++ b/node/rank/planning.go
@@ -21,7 +21,7 @@
 
 // planIfDue plans with what was counted, once no change is under way.
 func (d *groupDuty) planIfDue(now time.Time) {
-	if d.due && d.leading && d.coord.Settled() && !d.isStopping() {
+	if d.due && d.leading && d.coord.CanPropose() && !d.isStopping() {
 		d.due = false
 		d.plan(now, d.estimate.Load())
 	}
@@ -72,19 +72,19 @@
 	}
 	s := d.agent.settings()
 	p := rebalance.Planner{
-		Shape: d.shape, Pace: d.paces, Horizon: s.Horizon.Std(), Slowdown: slowdown, MostCopies: s.Copies(d.shape.Copy), Least: s.LeastSaving,
+		Shape: d.shape, Slowdowns: d.paces, Horizon: s.Horizon.Std(), CopySlowdown: slowdown, MaxCopies: s.Copies(d.shape.CopyTime), MinSaving: s.LeastSaving,
 		Overhead: d.overhead,
 	}
 	plan := p.Plan(rebalance.Map(current), load)
-	d.agent.common.Metrics.Set(telemetry.StepSkew, d.group, plan.Before)
-	if !plan.Worth() {
+	d.agent.common.Metrics.Set(telemetry.StepSkew, d.group, plan.SkewBefore)
+	if !plan.Worthwhile() {
 		return
 	}
-	if !d.coord.Propose(now, orders.Placement(plan.Map), plan.Copying) {
+	if !d.coord.Propose(now, orders.Placement(plan.Map), plan.CopyTime) {
 		return
 	}
-	d.agent.common.Metrics.Count(telemetry.MovedExperts, d.group, plan.Moves)
-	rows, _ := orders.Placement(plan.Map).Since(current)
-	d.rows, d.copying = len(rows), plan.Copying
-	d.log("map proposed", "skew", plan.Before, "expected", plan.After, "moves", plan.Moves, "copying", plan.Copying)
+	d.agent.common.Metrics.Count(telemetry.MovedExperts, d.group, plan.Copies)
+	rows, _ := orders.Placement(plan.Map).Diff(current)
+	d.rows, d.copying = len(rows), plan.CopyTime
+	d.log("map proposed", "skew", plan.SkewBefore, "expected", plan.SkewAfter, "moves", plan.Copies, "copying", plan.CopyTime)
 }
--- a/node/surveying.go
+++ b/node/surveying.go
@@ -26,7 +26,7 @@
 
 // surveying learns from other entry boxes how targets do: of each other data hall from one
 // box there, or in a hall with hubs of all halls from one of these. It notifies others what it
-// heard (membership.Outlook and membership.RoleOf decide whom to ask).
+// heard (membership.HallReporters and membership.RoleOf decide whom to ask).
 //
 // Lock order: mu, then the fleet's.
 type surveying struct {
@@ -34,7 +34,7 @@
 	sightings *telling.Sightings
 
 	mu        sync.Mutex
-	outlook   *membership.Outlook
+	outlook   *membership.HallReporters
 	role      membership.Role
 	place     int       // of this box among those of its hall, in the order of names
 	hubAt     time.Time // when a hub of the hall last reported that it follows the store
@@ -45,7 +45,7 @@
 func newSurveying(e *Entry) *surveying {
 	return &surveying{
 		entry: e, sightings: telling.NewSightings(),
-		outlook: membership.NewOutlook(domain.HallName(e.settings().Hall)), halls: map[domain.HallName]bool{},
+		outlook: membership.NewHallReporters(domain.HallName(e.settings().Hall)), halls: map[domain.HallName]bool{},
 	}
 }
 
@@ -81,7 +81,7 @@
 		return s.entry.peering.inTouch()
 	}
 	hall := max(slices.Index(halls, s.hall()), 0)
-	return membership.HubsEach * len(halls), hall*membership.HubsEach + at
+	return membership.HubsPerHall * len(halls), hall*membership.HubsPerHall + at
 }
 
 // hubFollows reports that a hub of the hall follows the store for this box.
@@ -98,8 +98,8 @@
 	role := membership.RoleOf(self, others)
 	s.mu.Lock()
 	before := s.role
-	s.role, s.place = role, membership.Place(self, others)
-	s.outlook.Become(role)
+	s.role, s.place = role, membership.Position(self, others)
+	s.outlook.SetRole(role)
 	s.mu.Unlock()
 	if role != before {
 		s.entry.common.Log.Info("role in the hall", "role", role, "before", before)
@@ -123,7 +123,7 @@
 	defer s.mu.Unlock()
 	out := map[domain.InstanceID]bool{}
 	for _, t := range ranks {
-		if s.outlook.Asks(now, t.Hall(), t.ID(), old) {
+		if s.outlook.ShouldQueryTarget(now, t.Hall(), t.ID(), old) {
 			out[t.ID()] = true
 		}
 	}
@@ -137,7 +137,7 @@
 	role, halls := s.role, len(s.halls)
 	s.mu.Unlock()
 	if role != membership.Standalone {
-		return everyAmong(membership.HubsEach * halls)
+		return everyAmong(membership.HubsPerHall * halls)
 	}
 	boxes, _ := s.entry.peering.inTouch()
 	return everyAmong(boxes)
@@ -181,7 +181,7 @@
 	old := s.old()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.outlook.Surveys(clock.Now(), hall, old)
+	return s.outlook.ShouldQueryPeer(clock.Now(), hall, old)
 }
 
 // ask asks one box of the hall, if any is in touch.
@@ -234,10 +234,10 @@
 			s.sightings.Receive(at, x)
 			own := domain.Rank{Epoch: uint64(x.Epoch), Open: x.Open}
 			if ros.Reported(at, x.ID, own, uint64(x.Step), x.Running > 0) {
-				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Pace: float64(x.Pace)})
+				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Slowdown: float64(x.Pace)})
 			}
 			if x.Missing {
-				ros.Missed(now, x.ID, at)
+				ros.PeerUnreachable(now, x.ID, at)
 			}
 		}
 	})
--- a/node/telling/telling_test.go
+++ b/node/telling/telling_test.go
@@ -18,7 +18,7 @@
 var (
 	begin = time.Unix(1_800_000_000, 0)
 	// large is the shape of a group of a few dozen ranks.
-	large = rebalance.Shape{Ranks: 32, Layers: 12, Experts: 128, Places: 5}
+	large = rebalance.Shape{Ranks: 32, Layers: 12, Experts: 128, Slots: 5}
 )
 
 // dealt deals the experts of a shape in turn, as in the first map of a group.
@@ -41,7 +41,7 @@
 		l := rnd.IntN(len(m))
 		rows = append(rows, orders.Row{Layer: l, Rank: r, Experts: append([]int{rnd.IntN(64)}, m[l][r]...)})
 	}
-	out, _ := m.With(rows)
+	out, _ := m.Apply(rows)
 	return out
 }
 
--- a/node/timeline.go
+++ b/node/timeline.go
@@ -61,35 +61,35 @@
 
 // completing is the store with complete positions in its answers.
 type completing struct {
-	store.Shelf
+	store.RecordStore
 	timeline *timeline
 }
 
 // List implements store.Feed.
 func (c completing) List(ctx context.Context, kind store.Kind) (store.Listing, error) {
 	sent := c.timeline.latest()
-	l, err := c.Shelf.List(ctx, kind)
+	l, err := c.RecordStore.List(ctx, kind)
 	if err != nil {
 		return l, err
 	}
 	if l.At.Era() > c.timeline.latest().Era() {
 		return store.Listing{}, errEraDoubted
 	}
-	l = l.Complete(sent)
+	l = l.InferEra(sent)
 	c.timeline.observe(l.At, "store")
 	return l, nil
 }
 
 // Watch implements store.Feed.
 func (c completing) Watch(ctx context.Context, kind store.Kind, since store.Position, wait time.Duration) (store.Changes, error) {
-	changes, err := c.Shelf.Watch(ctx, kind, since, wait)
+	changes, err := c.RecordStore.Watch(ctx, kind, since, wait)
 	if err != nil {
 		return changes, err
 	}
 	if changes.At.Era() > c.timeline.latest().Era() {
 		return store.Changes{}, errEraDoubted
 	}
-	changes = changes.Complete(since)
+	changes = changes.InferEra(since)
 	c.timeline.observe(changes.At, "store")
 	return changes, nil
 }
--- a/node/watching.go
+++ b/node/watching.go
@@ -111,7 +111,7 @@
 		boxes, _ := w.entry.peering.inTouch()
 		return boxes
 	case w.surveying.is(membership.Hub):
-		return membership.HubsEach
+		return membership.HubsPerHall
 	default:
 		return w.entry.peering.near(hall)
 	}
@@ -213,7 +213,7 @@
 // of its group, if all are listed in one epoch, and who hands orders on for it.
 func (w *watching) groupUpdate(id domain.InstanceID) *mesh.WatchQuery {
 	var target domain.Target
-	var news []membership.News
+	var news []membership.TargetUpdate
 	w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		target, _ = r.Get(id)
 		news = r.All()
@@ -264,7 +264,7 @@
 	}
 	x := s.Engine.Experts
 	return &rebalance.Shape{
-		Layers: x.Layers, Experts: x.PerSet, Places: x.Places, Staging: x.Staging, Copy: x.Load, Share: x.Share,
+		Layers: x.Layers, Experts: x.PerLayer, Slots: x.Slots, Staging: x.Staging, CopyTime: x.CopyTime, ExpertShare: x.Share,
 	}
 }
 
@@ -273,6 +273,6 @@
 	own := domain.Rank{Group: r.Group, Epoch: uint64(r.State.Epoch), Number: r.Rank, Size: r.Size, Open: r.State.Open}
 	w.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
 		ros.Reported(now, id, own, uint64(r.State.Step), r.Running > 0)
-		b.Report(now, id, routing.Report{Running: r.Running, Waiting: r.Waiting, Pace: r.Pace})
+		b.Report(now, id, routing.Report{Running: r.Running, Waiting: r.Waiting, Slowdown: r.Pace})
 	})
 }
