--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -16,7 +16,7 @@
 	"clovertrail.dev/mapswitch/orders"
 	"clovertrail.dev/membership"
 	"clovertrail.dev/mesh"
-	"clovertrail.dev/node/telling"
+	"clovertrail.dev/node/distribution"
 	"clovertrail.dev/routing"
 	"clovertrail.dev/store"
 )
@@ -84,7 +84,7 @@
 func instance(i int) domain.InstanceID { return domain.InstanceID(fmt.Sprintf("i-%010x", i)) }
 
 func survey(targets int) float64 {
-	s := telling.NewSightings()
+	s := distribution.NewSightings()
 	for i := range targets {
 		s.Saw(begin, instance(i), &mesh.RankReport{
 			State: orders.State{Epoch: 3, Open: true, Step: orders.Step(90_000 + i)}, Running: 7, Waiting: 1, Pace: 1,
--- a/node/telling/telling_test.go
+++ b/node/distribution/distribution_test.go
@@ -1,4 +1,4 @@
-package telling_test
+package distribution_test
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 	"clovertrail.dev/experts/rebalance"
 	"clovertrail.dev/mapswitch/orders"
 	"clovertrail.dev/mesh"
-	"clovertrail.dev/node/telling"
+	"clovertrail.dev/node/distribution"
 )
 
 var (
@@ -48,8 +48,8 @@
 // line is a coordinator and one other rank's agent, with messages as they are sent.
 type line struct {
 	t    *testing.T
-	told *telling.SentMaps
-	maps *telling.Placements
+	told *distribution.SentMaps
+	maps *distribution.Placements
 	sent int // bytes of the last call
 }
 
@@ -76,7 +76,7 @@
 }
 
 func newLine(t *testing.T) *line {
-	return &line{t: t, told: telling.NewSentMaps(), maps: telling.NewPlacements()}
+	return &line{t: t, told: distribution.NewSentMaps(), maps: distribution.NewPlacements()}
 }
 
 func TestMapsArriveAsTheyWereSent(t *testing.T) {
@@ -121,7 +121,7 @@
 	if _, err := l.tell(orders.Prepare{Version: 1, Map: first}, true); err != nil {
 		t.Fatal(err)
 	}
-	l.maps = telling.NewPlacements()
+	l.maps = distribution.NewPlacements()
 	if call, err := l.tell(orders.Prepare{Version: 2, Map: second}, true); !mesh.IsUnknownBase(err) {
 		t.Fatalf("%v, with the map %v", err, call)
 	}
@@ -133,7 +133,7 @@
 
 // TestMapsOfAnotherEpochAreForgotten: versions start over where a group forms anew.
 func TestMapsOfAnotherEpochAreForgotten(t *testing.T) {
-	maps := telling.NewPlacements()
+	maps := distribution.NewPlacements()
 	m := dealt(large)
 	if err := maps.Whole(&mesh.OrderCall{Epoch: 3, Prepare: &orders.Prepare{Version: 1, Map: m}}); err != nil {
 		t.Fatal(err)
@@ -147,9 +147,9 @@
 }
 
 func TestWhatWasChosenIsToldSinceTheLastTime(t *testing.T) {
-	p := telling.NewPicks()
+	p := distribution.NewPicks()
 	at := func(d time.Duration, asker int, counts ...uint64) *mesh.Picked {
-		return p.Since(begin.Add(d), telling.Asker{Group: "g0", Rank: asker}, 1, counts)
+		return p.Since(begin.Add(d), distribution.Asker{Group: "g0", Rank: asker}, 1, counts)
 	}
 	if got := at(0, 0, 10, 100); got != nil {
 		t.Errorf("the first time: %v", got)
@@ -163,13 +163,13 @@
 	if got := at(2*time.Second, 0, 2, 100); got != nil {
 		t.Errorf("after a restart of the engine: %v", got)
 	}
-	if got := p.Since(begin.Add(2500*time.Millisecond), telling.Asker{Group: "g0"}, 2, []uint64{50, 200}); got != nil {
+	if got := p.Since(begin.Add(2500*time.Millisecond), distribution.Asker{Group: "g0"}, 2, []uint64{50, 200}); got != nil {
 		t.Errorf("after a restart that has counted past the start before: %v", got)
 	}
 	if got := at(10*time.Second, 0, 9, 100); got != nil {
 		t.Errorf("after a long pause: %v", got)
 	}
-	if got := p.Since(begin.Add(11*time.Second), telling.Asker{Group: "g1"}, 1, []uint64{9, 200}); got != nil {
+	if got := p.Since(begin.Add(11*time.Second), distribution.Asker{Group: "g1"}, 1, []uint64{9, 200}); got != nil {
 		t.Errorf("in another group: %v", got)
 	}
 }
@@ -189,7 +189,7 @@
 }
 
 func TestACounterWaitsForAllRanks(t *testing.T) {
-	c := telling.NewCounter(rebalance.Shape{Ranks: 2, Layers: 2, Experts: 2})
+	c := distribution.NewCounter(rebalance.Shape{Ranks: 2, Layers: 2, Experts: 2})
 	if c.Add(0, mesh.Pack([]uint64{1, 2, 3, 4})) || c.Add(0, mesh.Pack([]uint64{1, 0, 0, 0})) {
 		t.Error("one of two ranks is all")
 	}
@@ -206,7 +206,7 @@
 }
 
 func TestAnAgentIsTaughtUntilItKnows(t *testing.T) {
-	u := telling.NewGroupUpdate(0)
+	u := distribution.NewGroupUpdate(0)
 	at := func(d time.Duration, epoch orders.Epoch) bool { return u.Due(begin.Add(d), epoch) }
 	if at(0, 2) {
 		t.Error("an agent is told before it was asked what it knows")
@@ -233,7 +233,7 @@
 }
 
 func TestASumIsWhatAllChose(t *testing.T) {
-	c := telling.NewCounter(rebalance.Shape{Ranks: 3, Layers: 1, Experts: 2})
+	c := distribution.NewCounter(rebalance.Shape{Ranks: 3, Layers: 1, Experts: 2})
 	if c.AddSum([]int{0, 2}, mesh.Sum([]*mesh.Picked{mesh.Pack([]uint64{1, 300}), nil, mesh.Pack([]uint64{2, 30})})) {
 		t.Error("two of three ranks are all")
 	}
@@ -250,9 +250,9 @@
 func TestFewOfManyBoxesTellAnAgentOfItsGroup(t *testing.T) {
 	const boxes, every = 30, 500 * time.Millisecond
 	rnd := rand.New(rand.NewPCG(5, 6))
-	var updates []*telling.GroupUpdate
+	var updates []*distribution.GroupUpdate
 	for range boxes {
-		updates = append(updates, telling.NewGroupUpdate(rnd.Float64()))
+		updates = append(updates, distribution.NewGroupUpdate(rnd.Float64()))
 	}
 	knows, told, first := orders.Epoch(0), 0, time.Duration(0)
 	for tick := range 100 {
@@ -274,7 +274,7 @@
 // thirty has to.
 func TestAFewBoxesTellAnAgentSoon(t *testing.T) {
 	wait := func(boxes int) time.Duration {
-		u := telling.NewGroupUpdate(1)
+		u := distribution.NewGroupUpdate(1)
 		u.Among(boxes)
 		u.Acknowledged(1)
 		u.Due(begin, 2)
@@ -283,7 +283,7 @@
 	if few, many := wait(3), wait(30); few <= 0 || few > many/8 {
 		t.Errorf("one of three waits for %v, one of thirty for %v", few, many)
 	}
-	u := telling.NewGroupUpdate(1)
+	u := distribution.NewGroupUpdate(1)
 	u.Acknowledged(2)
 	if u.Due(begin, 2) || u.Waits(begin) != 0 {
 		t.Error("an agent that knows its group is waited for")
--- a/node/telling/doc.go
+++ b/node/distribution/doc.go
@@ -1,4 +1,4 @@
-// Package telling keeps messages between the agents of a group short: a map as what
+// Package distribution keeps messages between the agents of a group short: a map as what
 // changed since one that was sent before, the counts of chosen experts as what came since
 // they were sent last, and both by way of relays where a group is large.
 //
@@ -10,19 +10,19 @@
 //
 // # Usage
 //
-//	told := telling.NewTold()                  // at the coordinator
+//	told := distribution.NewTold()                  // at the coordinator
 //	call = told.Shorten(rank, mesh.CallOf(order))
 //	told.Took(rank, prepare, err)              // as the rank's agent answered
 //
-//	maps := telling.NewPlacements()            // at every agent
+//	maps := distribution.NewPlacements()            // at every agent
 //	err := maps.Whole(call)                    // before the order goes to the engine
 //
-//	picks := telling.NewPicks()                // at every agent
+//	picks := distribution.NewPicks()                // at every agent
 //	report.Picked = picks.Since(now, asker, born, counts)
 //
-//	relays := telling.NewRelays(rank, members) // at the coordinator of a large group
+//	relays := distribution.NewRelays(rank, members) // at the coordinator of a large group
 //	for _, p := range relays.Through(ranks, fit) { ask(p.Relay, p.Ranks) }
 //
-//	counter := telling.NewCounter(shape)       // at the coordinator
+//	counter := distribution.NewCounter(shape)       // at the coordinator
 //	if counter.Add(rank, report.Picked) { load := counter.Take() }
-package telling
+package distribution
--- a/node/telling/helpers_test.go
+++ b/node/distribution/forwarders_test.go
@@ -1,14 +1,14 @@
-package telling_test
+package distribution_test
 
 import (
 	"testing"
 	"time"
 
-	"clovertrail.dev/node/telling"
+	"clovertrail.dev/node/distribution"
 )
 
 func TestHelpersTakeTurnsUntilTheyFail(t *testing.T) {
-	h := telling.NewHelpers()
+	h := distribution.NewHelpers()
 	if got := h.Next(begin); got != "" {
 		t.Errorf("%q helps before any was named", got)
 	}
--- a/node/telling/group_update.go
+++ b/node/distribution/group_update.go
@@ -1,4 +1,4 @@
-package telling
+package distribution
 
 import (
 	"time"
--- a/node/telling/relays_test.go
+++ b/node/distribution/relays_test.go
@@ -1,4 +1,4 @@
-package telling_test
+package distribution_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"clovertrail.dev/core/domain"
 	"clovertrail.dev/mesh"
-	"clovertrail.dev/node/telling"
+	"clovertrail.dev/node/distribution"
 )
 
 // spread are ranks that are dealt out over halls in order.
@@ -23,7 +23,7 @@
 func TestRelaysSpeakForTheirHalls(t *testing.T) {
 	const ranks, self = 96, 3
 	members, all := spread(ranks, 5)
-	relays := telling.NewRelays(self, members)
+	relays := distribution.NewRelays(self, members)
 	if n := relays.Parts(); n != 10 {
 		t.Errorf("%d parts", n)
 	}
@@ -46,18 +46,18 @@
 		})
 	}
 	none := relays.Through([]int{40, 41}, func(int) bool { return false })
-	if len(none) != 1 || none[0].Relay != telling.NoRelay || len(none[0].Ranks) != 2 {
+	if len(none) != 1 || none[0].Relay != distribution.NoRelay || len(none[0].Ranks) != 2 {
 		t.Errorf("without a fit agent: %v", none)
 	}
 }
 
 // checkPart: a relay is fit, and speaks for a few ranks of its own hall.
-func checkPart(t *testing.T, members map[int]mesh.Member, p telling.Part, fit func(int) bool) {
+func checkPart(t *testing.T, members map[int]mesh.Member, p distribution.Part, fit func(int) bool) {
 	t.Helper()
 	if len(p.Ranks) > 10 {
 		t.Errorf("rank %d speaks for %v", p.Relay, p.Ranks)
 	}
-	if p.Relay == telling.NoRelay {
+	if p.Relay == distribution.NoRelay {
 		return
 	}
 	if !fit(p.Relay) {
@@ -74,7 +74,7 @@
 func TestTwoCoordinatorsUseOtherRelays(t *testing.T) {
 	members, _ := spread(20, 1)
 	fit := func(int) bool { return true }
-	one, other := telling.NewRelays(0, members), telling.NewRelays(1, members)
+	one, other := distribution.NewRelays(0, members), distribution.NewRelays(1, members)
 	if x, y := one.Through([]int{15}, fit), other.Through([]int{15}, fit); x[0].Relay == y[0].Relay {
 		t.Errorf("both speak through rank %d", x[0].Relay)
 	}
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -11,8 +11,8 @@
 	"clovertrail.dev/experts/rebalance"
 	"clovertrail.dev/mapswitch/orders"
 	"clovertrail.dev/mesh"
+	"clovertrail.dev/node/distribution"
 	"clovertrail.dev/node/process"
-	"clovertrail.dev/node/telling"
 	"clovertrail.dev/platform"
 	"clovertrail.dev/telemetry"
 )
@@ -43,10 +43,10 @@
 	members map[int]mesh.Member // of the own group, by rank
 	epoch   orders.Epoch        // of the members
 	shape   *rebalance.Shape
-	helpers *telling.Helpers // processes that hand orders on
-	turn    *orders.Election // whether this rank is to coordinate
-	picks   *telling.Picks
-	maps    *telling.Placements
+	helpers *distribution.Helpers // processes that hand orders on
+	turn    *orders.Election      // whether this rank is to coordinate
+	picks   *distribution.Picks
+	maps    *distribution.Placements
 	lost    bool // the engine does not answer
 }
 
@@ -58,8 +58,8 @@
 		common: c, network: n, settings: now, http: client,
 		engine: platform.NewEngine(s.Engine, client),
 		mesh:   mesh.NewClient(n.Dial),
-		turn:   orders.NewElection(clock.Now()), helpers: telling.NewHelpers(),
-		picks: telling.NewPicks(), maps: telling.NewPlacements(),
+		turn:   orders.NewElection(clock.Now()), helpers: distribution.NewHelpers(),
+		picks: distribution.NewPicks(), maps: distribution.NewPlacements(),
 	}
 }
 
@@ -229,7 +229,7 @@
 		if err != nil {
 			return nil, err
 		}
-		out.Picked = a.picks.Since(clock.Now(), telling.Asker{Group: r.Rank.Group, Rank: q.From}, born, counts)
+		out.Picked = a.picks.Since(clock.Now(), distribution.Asker{Group: r.Rank.Group, Rank: q.From}, born, counts)
 	}
 	if q.Holds {
 		version, holds, err := a.engine.Holds(ctx)
--- a/node/rank/giving.go
+++ b/node/rank/dispatching.go
@@ -8,7 +8,7 @@
 	"clovertrail.dev/core/fault"
 	"clovertrail.dev/mapswitch/orders"
 	"clovertrail.dev/mesh"
-	"clovertrail.dev/node/telling"
+	"clovertrail.dev/node/distribution"
 	"clovertrail.dev/telemetry"
 )
 
@@ -131,7 +131,7 @@
 		for _, r := range p.Ranks {
 			part = append(part, byRank[r])
 		}
-		if p.Relay == telling.NoRelay {
+		if p.Relay == distribution.NoRelay {
 			rest = append(rest, part...)
 			continue
 		}
--- a/node/rank/groupduty.go
+++ b/node/rank/groupcoordinator.go
@@ -10,7 +10,7 @@
 	"clovertrail.dev/experts/rebalance"
 	"clovertrail.dev/mapswitch/orders"
 	"clovertrail.dev/mesh"
-	"clovertrail.dev/node/telling"
+	"clovertrail.dev/node/distribution"
 	"clovertrail.dev/platform"
 )
 
@@ -61,19 +61,19 @@
 	coord    *orders.Coordinator
 	members  map[int]mesh.Member
 	shape    rebalance.Shape
-	counts   *telling.Counter
+	counts   *distribution.Counter
 	estimate *rebalance.Estimate
 	paces    []float64       // by rank, as last reported
 	holds    map[int][][]int // of the map in use, by rank
 	holdsOf  orders.Version
-	readAt   time.Time       // all ranks
-	lookedAt time.Time       // those that an attempt waits for
-	pickedAt time.Time       // when all ranks were last asked what was chosen
-	relays   *telling.Relays // nil where every rank is spoken to by itself
-	reach    time.Duration   // that the slowest reads take
-	overhead time.Duration   // that changes take beside copies
-	copying  time.Duration   // that the proposed map takes to copy
-	told     *telling.SentMaps
+	readAt   time.Time            // all ranks
+	lookedAt time.Time            // those that an attempt waits for
+	pickedAt time.Time            // when all ranks were last asked what was chosen
+	relays   *distribution.Relays // nil where every rank is spoken to by itself
+	reach    time.Duration        // that the slowest reads take
+	overhead time.Duration        // that changes take beside copies
+	copying  time.Duration        // that the proposed map takes to copy
+	told     *distribution.SentMaps
 	rows     int           // that the proposed map differs in from the one in use
 	tellers  chan struct{} // one for each whole map that may be on its way
 	endedAt  time.Time     // the last attempt
@@ -102,7 +102,7 @@
 
 // gatherDone is what a relay brought of a part.
 type gatherDone struct {
-	part   telling.Part
+	part   distribution.Part
 	epoch  orders.Epoch
 	picked bool
 	began  time.Time
@@ -257,14 +257,14 @@
 	shape.Ranks = d.size
 	d.members, d.shape = members, shape
 	d.coord = orders.NewCoordinator(d.rank, d.size, own.State.Epoch, d.numbers)
-	d.counts = telling.NewCounter(shape)
+	d.counts = distribution.NewCounter(shape)
 	d.holds, d.holdsOf = map[int][][]int{}, 0
 	clear(d.reading)
 	d.mute.reset()
-	d.told = telling.NewSentMaps()
+	d.told = distribution.NewSentMaps()
 	d.relays, d.reach = nil, 0
 	if d.useRelays() {
-		d.relays = telling.NewRelays(d.rank, members)
+		d.relays = distribution.NewRelays(d.rank, members)
 	}
 	d.tellers = make(chan struct{}, max(1, int(tellingAtOnce/max(d.tellingOne(), 1))))
 	d.rows = 0
--- a/node/rank/reading.go
+++ b/node/rank/reading.go
@@ -7,11 +7,11 @@
 
 	"clovertrail.dev/core/clock"
 	"clovertrail.dev/mesh"
-	"clovertrail.dev/node/telling"
+	"clovertrail.dev/node/distribution"
 )
 
 // How a coordinator reads its ranks: each by itself, or in a large group by way of
-// relays (telling.Relays).
+// relays (distribution.Relays).
 
 // relayFrom is how long a reading of all ranks, each by itself, takes this box's share of
 // its link for it to use relays: several times the pause between two readings.
@@ -59,7 +59,7 @@
 func (d *groupDuty) readThrough(ctx context.Context, ranks []int, q mesh.ReadQuery) {
 	e := d.coord.Epoch()
 	for _, p := range d.relays.Through(ranks, d.relayed) {
-		if p.Relay == telling.NoRelay {
+		if p.Relay == distribution.NoRelay {
 			for _, r := range p.Ranks {
 				go d.readRank(ctx, r, d.members[r], &q, readDone{rank: r, epoch: e, picked: q.Picked, began: clock.Now()})
 			}
--- a/node/surveying.go
+++ b/node/surveying.go
@@ -11,7 +11,7 @@
 	"clovertrail.dev/core/domain"
 	"clovertrail.dev/membership"
 	"clovertrail.dev/mesh"
-	"clovertrail.dev/node/telling"
+	"clovertrail.dev/node/distribution"
 	"clovertrail.dev/routing"
 )
 
@@ -31,7 +31,7 @@
 // Lock order: mu, then the fleet's.
 type surveying struct {
 	entry     *Entry
-	sightings *telling.Sightings
+	sightings *distribution.Sightings
 
 	mu        sync.Mutex
 	outlook   *membership.HallReporters
@@ -44,7 +44,7 @@
 
 func newSurveying(e *Entry) *surveying {
 	return &surveying{
-		entry: e, sightings: telling.NewSightings(),
+		entry: e, sightings: distribution.NewSightings(),
 		outlook: membership.NewHallReporters(domain.HallName(e.settings().Hall)), halls: map[domain.HallName]bool{},
 	}
 }
--- a/node/watching.go
+++ b/node/watching.go
@@ -14,7 +14,7 @@
 	"clovertrail.dev/mapswitch/orders"
 	"clovertrail.dev/membership"
 	"clovertrail.dev/mesh"
-	"clovertrail.dev/node/telling"
+	"clovertrail.dev/node/distribution"
 	"clovertrail.dev/routing"
 )
 
@@ -84,7 +84,7 @@
 
 // watch asks the agent beside one target until ctx ends.
 func (w *watching) watch(ctx context.Context, id domain.InstanceID) {
-	update := telling.NewGroupUpdate(rand.Float64())
+	update := distribution.NewGroupUpdate(rand.Float64())
 	pause := watchEvery
 	for ctx.Err() == nil {
 		askers := w.askers(id)
@@ -129,7 +129,7 @@
 }
 
 // ask asks the agent, and tells it of its group if its answer shows that this is due.
-func (w *watching) ask(ctx context.Context, id domain.InstanceID, u *telling.GroupUpdate) error {
+func (w *watching) ask(ctx context.Context, id domain.InstanceID, u *distribution.GroupUpdate) error {
 	address, epoch, ok := w.agent(id)
 	if !ok {
 		return nil
