--- a/node/distribution/forwarders.go
+++ b/node/distribution/forwarders.go
@@ -10,21 +10,21 @@
 // which an agent is named them again.
 const helperFor = 3 * updateEvery
 
-// Helpers are processes outside a group, on boxes without a rank of it, that hand orders
+// Forwarders are processes outside a group, on boxes without a rank of it, that hand orders
 // on for its coordinator, by turns.
 //
 // Lock order: mu is the only lock.
-type Helpers struct {
+type Forwarders struct {
 	mu    sync.Mutex
 	named map[string]time.Time // by address
 	turn  int
 }
 
-// NewHelpers returns an empty set.
-func NewHelpers() *Helpers { return &Helpers{named: map[string]time.Time{}} }
+// NewForwarders returns an empty set.
+func NewForwarders() *Forwarders { return &Forwarders{named: map[string]time.Time{}} }
 
-// Learn takes addresses that were named now.
-func (h *Helpers) Learn(now time.Time, addresses []string) {
+// Add takes addresses that were named now.
+func (h *Forwarders) Add(now time.Time, addresses []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range addresses {
@@ -33,7 +33,7 @@
 }
 
 // Next gives the address of a helper, a different one each time; empty if none is known.
-func (h *Helpers) Next(now time.Time) string {
+func (h *Forwarders) Next(now time.Time) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	list := make([]string, 0, len(h.named))
@@ -52,8 +52,8 @@
 	return list[h.turn%len(list)]
 }
 
-// Failed drops a helper that did not answer, until it is named again.
-func (h *Helpers) Failed(address string) {
+// ReportFailure drops a helper that did not answer, until it is named again.
+func (h *Forwarders) ReportFailure(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.named, address)
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -43,7 +43,7 @@
 	members map[int]mesh.Member // of the own group, by rank
 	epoch   orders.Epoch        // of the members
 	shape   *rebalance.Shape
-	helpers *distribution.Helpers // processes that hand orders on
+	helpers *distribution.Forwarders // processes that hand orders on
 	turn    *orders.Election      // whether this rank is to coordinate
 	picks   *distribution.Picks
 	maps    *distribution.Placements
@@ -58,7 +58,7 @@
 		common: c, network: n, settings: now, http: client,
 		engine: platform.NewEngine(s.Engine, client),
 		mesh:   mesh.NewClient(n.Dial),
-		turn:   orders.NewElection(clock.Now()), helpers: distribution.NewHelpers(),
+		turn:   orders.NewElection(clock.Now()), helpers: distribution.NewForwarders(),
 		picks: distribution.NewPicks(), maps: distribution.NewPlacements(),
 	}
 }
@@ -150,7 +150,7 @@
 		a.turn.MembersReceived(clock.Now())
 	}
 	a.epoch, a.shape = q.Epoch, q.Shape
-	a.helpers.Learn(clock.Now(), q.Helpers)
+	a.helpers.Add(clock.Now(), q.Helpers)
 	a.members = make(map[int]mesh.Member, len(q.Members))
 	for _, m := range q.Members {
 		a.members[m.Rank] = m
--- a/node/rank/dispatching.go
+++ b/node/rank/dispatching.go
@@ -171,7 +171,7 @@
 		err = fault.New(fault.BadRequest, "%d results for %d orders", len(reply.Dealt), len(calls))
 	}
 	if err != nil && len(call.Engines) > 0 {
-		d.agent.helpers.Failed(address)
+		d.agent.helpers.ReportFailure(address)
 	}
 	d.results <- dealt(calls, call, reply, err)
 }
--- a/node/rank/orders.go
+++ b/node/rank/orders.go
@@ -46,7 +46,7 @@
 	call.Engine = m.Target
 	reply, err := mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, helper, mesh.Command, call)
 	if err != nil {
-		a.helpers.Failed(helper)
+		a.helpers.ReportFailure(helper)
 		return orders.Lost, err
 	}
 	return reply.Result, nil
