--- a/node/distribution/relays.go
+++ b/node/distribution/relays.go
@@ -23,8 +23,8 @@
 	of    map[int]int // the part of a rank
 }
 
-// Part is some ranks that are spoken to through the agent of one of them.
-type Part struct {
+// Assignment is some ranks that are spoken to through the agent of one of them.
+type Assignment struct {
 	Relay int // a rank of the part; NoRelay if none is fit
 	Ranks []int
 }
@@ -56,21 +56,21 @@
 	return r
 }
 
-// Parts is how many parts there are.
-func (r *Relays) Parts() int { return len(r.parts) }
+// Partitions is how many parts there are.
+func (r *Relays) Partitions() int { return len(r.parts) }
 
-// Through gives through whom each of the ranks is called. fit reports whether a rank's
+// Assign gives through whom each of the ranks is called. fit reports whether a rank's
 // agent may be a relay; the first that is reports for its part, counted from a place that
 // differs from one coordinator to the next: where two are at work for a moment, they do
 // not lean on the same agents.
-func (r *Relays) Through(ranks []int, fit func(rank int) bool) []Part {
+func (r *Relays) Assign(ranks []int, fit func(rank int) bool) []Assignment {
 	wanted := make([][]int, len(r.parts))
 	for _, rank := range ranks {
 		if i, ok := r.of[rank]; ok {
 			wanted[i] = append(wanted[i], rank)
 		}
 	}
-	var list []Part
+	var list []Assignment
 	for i, w := range wanted {
 		if len(w) == 0 {
 			continue
@@ -84,7 +84,7 @@
 				break
 			}
 		}
-		list = append(list, Part{Relay: relay, Ranks: w})
+		list = append(list, Assignment{Relay: relay, Ranks: w})
 	}
 	return list
 }
--- a/node/distribution/relays_test.go
+++ b/node/distribution/relays_test.go
@@ -24,7 +24,7 @@
 	const ranks, self = 96, 3
 	members, all := spread(ranks, 5)
 	relays := distribution.NewRelays(self, members)
-	if n := relays.Parts(); n != 10 {
+	if n := relays.Partitions(); n != 10 {
 		t.Errorf("%d parts", n)
 	}
 	for name, fit := range map[string]func(int) bool{
@@ -34,7 +34,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			spoken := map[int]int{}
-			for _, p := range relays.Through(all, fit) {
+			for _, p := range relays.Assign(all, fit) {
 				checkPart(t, members, p, fit)
 				for _, r := range p.Ranks {
 					spoken[r]++
@@ -45,14 +45,14 @@
 			}
 		})
 	}
-	none := relays.Through([]int{40, 41}, func(int) bool { return false })
+	none := relays.Assign([]int{40, 41}, func(int) bool { return false })
 	if len(none) != 1 || none[0].Relay != distribution.NoRelay || len(none[0].Ranks) != 2 {
 		t.Errorf("without a fit agent: %v", none)
 	}
 }
 
 // checkPart: a relay is fit, and speaks for a few ranks of its own hall.
-func checkPart(t *testing.T, members map[int]mesh.Member, p distribution.Part, fit func(int) bool) {
+func checkPart(t *testing.T, members map[int]mesh.Member, p distribution.Assignment, fit func(int) bool) {
 	t.Helper()
 	if len(p.Ranks) > 10 {
 		t.Errorf("rank %d speaks for %v", p.Relay, p.Ranks)
@@ -75,7 +75,7 @@
 	members, _ := spread(20, 1)
 	fit := func(int) bool { return true }
 	one, other := distribution.NewRelays(0, members), distribution.NewRelays(1, members)
-	if x, y := one.Through([]int{15}, fit), other.Through([]int{15}, fit); x[0].Relay == y[0].Relay {
+	if x, y := one.Assign([]int{15}, fit), other.Assign([]int{15}, fit); x[0].Relay == y[0].Relay {
 		t.Errorf("both speak through rank %d", x[0].Relay)
 	}
 }
--- a/node/rank/dispatching.go
+++ b/node/rank/dispatching.go
@@ -126,7 +126,7 @@
 	}
 	order := d.told.Shorten(calls[0].Rank, mesh.CallOf(calls[0]))
 	var rest []orders.Call
-	for _, p := range d.relays.Through(ranks, d.relayed) {
+	for _, p := range d.relays.Assign(ranks, d.relayed) {
 		var part []orders.Call
 		for _, r := range p.Ranks {
 			part = append(part, byRank[r])
@@ -273,7 +273,7 @@
 		each = min(each, d.sending(d.rows*(d.shape.Slots+rowHead)*placeBytes, 1))
 	}
 	if d.relays != nil {
-		parts := max(d.relays.Parts(), 1)
+		parts := max(d.relays.Partitions(), 1)
 		return each * time.Duration(parts+d.size/parts)
 	}
 	return each * time.Duration(d.size)
--- a/node/rank/groupcoordinator.go
+++ b/node/rank/groupcoordinator.go
@@ -102,7 +102,7 @@
 
 // gatherDone is what a relay brought of a part.
 type gatherDone struct {
-	part   distribution.Part
+	part   distribution.Assignment
 	epoch  orders.Epoch
 	picked bool
 	began  time.Time
@@ -249,7 +249,7 @@
 	if d.relays == nil {
 		return 0
 	}
-	return d.relays.Parts()
+	return d.relays.Partitions()
 }
 
 func (d *groupDuty) begin(own platform.Report, members map[int]mesh.Member, shape rebalance.Shape) {
--- a/node/rank/reading.go
+++ b/node/rank/reading.go
@@ -58,7 +58,7 @@
 // readThrough reads the ranks by way of relays.
 func (d *groupDuty) readThrough(ctx context.Context, ranks []int, q mesh.ReadQuery) {
 	e := d.coord.Epoch()
-	for _, p := range d.relays.Through(ranks, d.relayed) {
+	for _, p := range d.relays.Assign(ranks, d.relayed) {
 		if p.Relay == distribution.NoRelay {
 			for _, r := range p.Ranks {
 				go d.readRank(ctx, r, d.members[r], &q, readDone{rank: r, epoch: e, picked: q.Picked, began: clock.Now()})
@@ -186,7 +186,7 @@
 // answers is how many answers a reading of all ranks is, at this box.
 func (d *groupDuty) answers() int {
 	if d.relays != nil {
-		return max(d.relays.Parts(), d.size/max(d.relays.Parts(), 1))
+		return max(d.relays.Partitions(), d.size/max(d.relays.Partitions(), 1))
 	}
 	return d.size
 }
