--- a/node/distribution/distribution_test.go
+++ b/node/distribution/distribution_test.go
@@ -49,7 +49,7 @@
 type line struct {
 	t    *testing.T
 	told *distribution.SentMaps
-	maps *distribution.Placements
+	maps *distribution.ReceivedMaps
 	sent int // bytes of the last call
 }
 
@@ -67,16 +67,16 @@
 	}
 	if !arrives {
 		err = errors.New("no answer")
-		l.told.Took(1, p, err)
+		l.told.RecordReply(1, p, err)
 		return nil, err
 	}
-	err = l.maps.Whole(call)
-	l.told.Took(1, p, err)
+	err = l.maps.Expand(call)
+	l.told.RecordReply(1, p, err)
 	return call, err
 }
 
 func newLine(t *testing.T) *line {
-	return &line{t: t, told: distribution.NewSentMaps(), maps: distribution.NewPlacements()}
+	return &line{t: t, told: distribution.NewSentMaps(), maps: distribution.NewReceivedMaps()}
 }
 
 func TestMapsArriveAsTheyWereSent(t *testing.T) {
@@ -121,7 +121,7 @@
 	if _, err := l.tell(orders.Prepare{Version: 1, Map: first}, true); err != nil {
 		t.Fatal(err)
 	}
-	l.maps = distribution.NewPlacements()
+	l.maps = distribution.NewReceivedMaps()
 	if call, err := l.tell(orders.Prepare{Version: 2, Map: second}, true); !mesh.IsUnknownBase(err) {
 		t.Fatalf("%v, with the map %v", err, call)
 	}
@@ -133,14 +133,14 @@
 
 // TestMapsOfAnotherEpochAreForgotten: versions start over where a group forms anew.
 func TestMapsOfAnotherEpochAreForgotten(t *testing.T) {
-	maps := distribution.NewPlacements()
+	maps := distribution.NewReceivedMaps()
 	m := dealt(large)
-	if err := maps.Whole(&mesh.OrderCall{Epoch: 3, Prepare: &orders.Prepare{Version: 1, Map: m}}); err != nil {
+	if err := maps.Expand(&mesh.OrderCall{Epoch: 3, Prepare: &orders.Prepare{Version: 1, Map: m}}); err != nil {
 		t.Fatal(err)
 	}
 	for _, epoch := range []orders.Epoch{4, 2} {
 		late := &mesh.OrderCall{Epoch: epoch, Prepare: &orders.Prepare{Version: 2}, Base: 1}
-		if err := maps.Whole(late); !mesh.IsUnknownBase(err) {
+		if err := maps.Expand(late); !mesh.IsUnknownBase(err) {
 			t.Errorf("epoch %d: %v", epoch, err)
 		}
 	}
--- a/node/distribution/maps.go
+++ b/node/distribution/maps.go
@@ -11,21 +11,21 @@
 // prepared, and one before them, of which the changes may be sent.
 const placementsMost = 3
 
-// Placements are the maps that the coordinator of the group sent this agent lately.
+// ReceivedMaps are the maps that the coordinator of the group sent this agent lately.
 //
 // Lock order: mu is the only lock.
-type Placements struct {
+type ReceivedMaps struct {
 	mu    sync.Mutex
 	epoch orders.Epoch
 	order []orders.Version // the latest is last
 	known map[orders.Version]orders.Placement
 }
 
-// NewPlacements returns the maps of an agent that was sent none.
-func NewPlacements() *Placements { return &Placements{known: map[orders.Version]orders.Placement{}} }
+// NewReceivedMaps returns the maps of an agent that was sent none.
+func NewReceivedMaps() *ReceivedMaps { return &ReceivedMaps{known: map[orders.Version]orders.Placement{}} }
 
-// Whole gives the call with its map made whole.
-func (p *Placements) Whole(c *mesh.OrderCall) error {
+// Expand gives the call with its map made whole.
+func (p *ReceivedMaps) Expand(c *mesh.OrderCall) error {
 	if c.Prepare == nil {
 		return nil
 	}
@@ -49,7 +49,7 @@
 }
 
 // keep keeps a map; mu is held.
-func (p *Placements) keep(v orders.Version, m orders.Placement) {
+func (p *ReceivedMaps) keep(v orders.Version, m orders.Placement) {
 	if _, known := p.known[v]; known || m == nil {
 		return
 	}
@@ -93,12 +93,12 @@
 	return c
 }
 
-// Has is the version of the map of which changes can be sent to the rank; 0 for none.
-func (t *SentMaps) Has(rank int) orders.Version { return t.ranks[rank].version }
+// BaseVersion is the version of the map of which changes can be sent to the rank; 0 for none.
+func (t *SentMaps) BaseVersion(rank int) orders.Version { return t.ranks[rank].version }
 
-// Took notes what a rank's agent answered to a map. One that did not answer still has
+// RecordReply notes what a rank's agent answered to a map. One that did not answer still has
 // the map that it had.
-func (t *SentMaps) Took(rank int, p orders.Prepare, err error) {
+func (t *SentMaps) RecordReply(rank int, p orders.Prepare, err error) {
 	switch {
 	case err == nil:
 		t.ranks[rank] = toldMap{version: p.Version, whole: p.Map}
@@ -107,5 +107,5 @@
 	}
 }
 
-// All reports that the agents of so many other ranks have a map each.
-func (t *SentMaps) All(ranks int) bool { return len(t.ranks) >= ranks-1 }
+// CoversAll reports that the agents of so many other ranks have a map each.
+func (t *SentMaps) CoversAll(ranks int) bool { return len(t.ranks) >= ranks-1 }
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -46,7 +46,7 @@
 	helpers *distribution.Forwarders // processes that hand orders on
 	turn    *orders.Election      // whether this rank is to coordinate
 	picks   *distribution.Picks
-	maps    *distribution.Placements
+	maps    *distribution.ReceivedMaps
 	lost    bool // the engine does not answer
 }
 
@@ -59,7 +59,7 @@
 		engine: platform.NewEngine(s.Engine, client),
 		mesh:   mesh.NewClient(n.Dial),
 		turn:   orders.NewElection(clock.Now()), helpers: distribution.NewForwarders(),
-		picks: distribution.NewPicks(), maps: distribution.NewPlacements(),
+		picks: distribution.NewPicks(), maps: distribution.NewReceivedMaps(),
 	}
 }
 
@@ -256,7 +256,7 @@
 
 // command gives an order to the engine, or to another that the call names.
 func (a *Agent) command(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
-	if err := a.maps.Whole(c); err != nil {
+	if err := a.maps.Expand(c); err != nil {
 		return nil, err
 	}
 	o := c.Order()
--- a/node/rank/dispatching.go
+++ b/node/rank/dispatching.go
@@ -75,7 +75,7 @@
 		case !prepares:
 			held = append(held, c)
 		case d.relayed(c.Rank):
-			base := d.told.Has(c.Rank)
+			base := d.told.BaseVersion(c.Rank)
 			maps[base] = append(maps[base], c)
 		default:
 			rest = append(rest, c)
@@ -261,7 +261,7 @@
 // formation report nothing.
 func (d *groupDuty) noteTold(e orderDone) {
 	if p, ok := e.call.Order.(orders.Prepare); ok && e.agent && d.coord != nil && e.call.Epoch == d.coord.Epoch() {
-		d.told.Took(e.call.Rank, p, e.err)
+		d.told.RecordReply(e.call.Rank, p, e.err)
 	}
 }
 
@@ -269,7 +269,7 @@
 // changes of one that they have are enough, and where relays pass it on.
 func (d *groupDuty) telling() time.Duration {
 	each := d.tellingOne()
-	if d.told.All(d.size) {
+	if d.told.CoversAll(d.size) {
 		each = min(each, d.sending(d.rows*(d.shape.Slots+rowHead)*placeBytes, 1))
 	}
 	if d.relays != nil {
