--- a/node/distribution/count_deltas.go
+++ b/node/distribution/count_deltas.go
@@ -12,17 +12,17 @@
 // would hide a shift of demand behind what came before it.
 const pickMemory = 3 * time.Second
 
-// Picks turns an engine's running counts into what was chosen since each asker had
+// CountDeltas turns an engine's running counts into what was chosen since each asker had
 // them last, so that little has to be sent.
 //
 // Lock order: mu is the only lock.
-type Picks struct {
+type CountDeltas struct {
 	mu   sync.Mutex
 	last map[domain.GroupName]map[int]counted // by the asker's group and rank
 }
 
-// Asker is who asks what was chosen: a rank of a group.
-type Asker struct {
+// Requester is who asks what was chosen: a rank of a group.
+type Requester struct {
 	Group domain.GroupName
 	Rank  int
 }
@@ -34,13 +34,13 @@
 	counts []uint64
 }
 
-// NewPicks returns picks of an engine that nobody asked yet.
-func NewPicks() *Picks { return &Picks{last: map[domain.GroupName]map[int]counted{}} }
+// NewCountDeltas returns picks of an engine that nobody asked yet.
+func NewCountDeltas() *CountDeltas { return &CountDeltas{last: map[domain.GroupName]map[int]counted{}} }
 
 // Since gives what was chosen since the asker had the counts last; nil if that is
 // not known. An engine that started again counts from zero; its counts may have grown past
 // those of the start before, and then only its birth shows it.
-func (p *Picks) Since(now time.Time, asker Asker, born domain.Born, counts []uint64) *mesh.Picked {
+func (p *CountDeltas) Since(now time.Time, asker Requester, born domain.Born, counts []uint64) *mesh.Picked {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.last[asker.Group] == nil {
--- a/node/distribution/counter.go
+++ b/node/distribution/counter.go
@@ -44,8 +44,8 @@
 	return len(c.fresh) == c.shape.Ranks
 }
 
-// Take returns what was chosen, by layer and expert, and starts over.
-func (c *Counter) Take() rebalance.Load {
+// SumAndReset returns what was chosen, by layer and expert, and starts over.
+func (c *Counter) SumAndReset() rebalance.Load {
 	sum := c.sum
 	c.clear()
 	return sum
--- a/node/distribution/distribution_test.go
+++ b/node/distribution/distribution_test.go
@@ -147,9 +147,9 @@
 }
 
 func TestWhatWasChosenIsToldSinceTheLastTime(t *testing.T) {
-	p := distribution.NewPicks()
+	p := distribution.NewCountDeltas()
 	at := func(d time.Duration, asker int, counts ...uint64) *mesh.Picked {
-		return p.Since(begin.Add(d), distribution.Asker{Group: "g0", Rank: asker}, 1, counts)
+		return p.Since(begin.Add(d), distribution.Requester{Group: "g0", Rank: asker}, 1, counts)
 	}
 	if got := at(0, 0, 10, 100); got != nil {
 		t.Errorf("the first time: %v", got)
@@ -163,13 +163,13 @@
 	if got := at(2*time.Second, 0, 2, 100); got != nil {
 		t.Errorf("after a restart of the engine: %v", got)
 	}
-	if got := p.Since(begin.Add(2500*time.Millisecond), distribution.Asker{Group: "g0"}, 2, []uint64{50, 200}); got != nil {
+	if got := p.Since(begin.Add(2500*time.Millisecond), distribution.Requester{Group: "g0"}, 2, []uint64{50, 200}); got != nil {
 		t.Errorf("after a restart that has counted past the start before: %v", got)
 	}
 	if got := at(10*time.Second, 0, 9, 100); got != nil {
 		t.Errorf("after a long pause: %v", got)
 	}
-	if got := p.Since(begin.Add(11*time.Second), distribution.Asker{Group: "g1"}, 1, []uint64{9, 200}); got != nil {
+	if got := p.Since(begin.Add(11*time.Second), distribution.Requester{Group: "g1"}, 1, []uint64{9, 200}); got != nil {
 		t.Errorf("in another group: %v", got)
 	}
 }
@@ -196,11 +196,11 @@
 	if !c.Add(1, nil) {
 		t.Error("a rank that cannot tell is waited for")
 	}
-	if got, want := c.Take(), (rebalance.Load{{2, 2}, {3, 4}}); !reflect.DeepEqual(got, want) {
+	if got, want := c.SumAndReset(), (rebalance.Load{{2, 2}, {3, 4}}); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 	c.Add(0, mesh.Pack([]uint64{1}))
-	if c.Add(1, nil); c.Take()[0][0] != 0 {
+	if c.Add(1, nil); c.SumAndReset()[0][0] != 0 {
 		t.Error("counts of another shape were added")
 	}
 }
@@ -240,7 +240,7 @@
 	if !c.AddSum([]int{1}, mesh.Sum(nil)) {
 		t.Error("a part that cannot tell is waited for")
 	}
-	if got := c.Take(); got[0][0] < 2 || got[0][0] > 4 || got[0][1] < 328 || got[0][1] > 332 {
+	if got := c.SumAndReset(); got[0][0] < 2 || got[0][0] > 4 || got[0][1] < 328 || got[0][1] > 332 {
 		t.Errorf("got %v", got)
 	}
 }
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -45,7 +45,7 @@
 	shape   *rebalance.Shape
 	helpers *distribution.Forwarders // processes that hand orders on
 	turn    *orders.Election      // whether this rank is to coordinate
-	picks   *distribution.Picks
+	picks   *distribution.CountDeltas
 	maps    *distribution.ReceivedMaps
 	lost    bool // the engine does not answer
 }
@@ -59,7 +59,7 @@
 		engine: platform.NewEngine(s.Engine, client),
 		mesh:   mesh.NewClient(n.Dial),
 		turn:   orders.NewElection(clock.Now()), helpers: distribution.NewForwarders(),
-		picks: distribution.NewPicks(), maps: distribution.NewReceivedMaps(),
+		picks: distribution.NewCountDeltas(), maps: distribution.NewReceivedMaps(),
 	}
 }
 
@@ -229,7 +229,7 @@
 		if err != nil {
 			return nil, err
 		}
-		out.Picked = a.picks.Since(clock.Now(), distribution.Asker{Group: r.Rank.Group, Rank: q.From}, born, counts)
+		out.Picked = a.picks.Since(clock.Now(), distribution.Requester{Group: r.Rank.Group, Rank: q.From}, born, counts)
 	}
 	if q.Holds {
 		version, holds, err := a.engine.Holds(ctx)
--- a/node/rank/planning.go
+++ b/node/rank/planning.go
@@ -15,7 +15,7 @@
 
 // counted takes that all ranks have reported what they chose.
 func (d *groupDuty) counted() {
-	d.estimate.Add(d.counts.Take())
+	d.estimate.Add(d.counts.SumAndReset())
 	d.due = true
 }
 
