--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -84,9 +84,9 @@
 func instance(i int) domain.InstanceID { return domain.InstanceID(fmt.Sprintf("i-%010x", i)) }
 
 func survey(targets int) float64 {
-	s := distribution.NewSightings()
+	s := distribution.NewTargetStatuses()
 	for i := range targets {
-		s.Saw(begin, instance(i), &mesh.RankReport{
+		s.RecordReport(begin, instance(i), &mesh.RankReport{
 			State: orders.State{Epoch: 3, Open: true, Step: orders.Step(90_000 + i)}, Running: 7, Waiting: 1, Pace: 1,
 		})
 	}
--- a/node/distribution/target_statuses.go
+++ b/node/distribution/target_statuses.go
@@ -13,11 +13,11 @@
 // for good costs in every answer.
 const sightingFor = 10 * time.Second
 
-// Sightings are what this box learned of targets, from those that it asks itself and from
+// TargetStatuses are what this box learned of targets, from those that it asks itself and from
 // other boxes, kept for boxes that ask it.
 //
 // Lock order: mu is the only lock.
-type Sightings struct {
+type TargetStatuses struct {
 	mu   sync.Mutex
 	seen map[domain.InstanceID]sighting
 }
@@ -29,11 +29,11 @@
 	told    bool // another box heard it
 }
 
-// NewSightings returns the sightings of a box that has no reports yet.
-func NewSightings() *Sightings { return &Sightings{seen: map[domain.InstanceID]sighting{}} }
+// NewTargetStatuses returns the sightings of a box that has no reports yet.
+func NewTargetStatuses() *TargetStatuses { return &TargetStatuses{seen: map[domain.InstanceID]sighting{}} }
 
-// Saw takes what a target reported just now.
-func (s *Sightings) Saw(now time.Time, id domain.InstanceID, r *mesh.RankReport) {
+// RecordReport takes what a target reported just now.
+func (s *TargetStatuses) RecordReport(now time.Time, id domain.InstanceID, r *mesh.RankReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seen[id] = sighting{at: now, word: mesh.Sighting{
@@ -42,8 +42,8 @@
 	}}
 }
 
-// Receive takes what another box learned of a target at the time.
-func (s *Sightings) Receive(at time.Time, w mesh.Sighting) {
+// RecordFromPeer takes what another box learned of a target at the time.
+func (s *TargetStatuses) RecordFromPeer(at time.Time, w mesh.Sighting) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if x, ok := s.seen[w.ID]; !ok || at.After(x.at) || at.Equal(x.at) && w.Missing {
@@ -51,8 +51,8 @@
 	}
 }
 
-// Missed takes that nothing at all came back from the target's box.
-func (s *Sightings) Missed(id domain.InstanceID) {
+// MarkUnreachable takes that nothing at all came back from the target's box.
+func (s *TargetStatuses) MarkUnreachable(id domain.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if x, ok := s.seen[id]; ok {
@@ -63,7 +63,7 @@
 
 // Latest are the latest reports, with their ages, for another box: those from the
 // targets themselves, or all.
-func (s *Sightings) Latest(now time.Time, all bool) *mesh.HallReport {
+func (s *TargetStatuses) Latest(now time.Time, all bool) *mesh.HallReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := &mesh.HallReport{}
--- a/node/surveying.go
+++ b/node/surveying.go
@@ -31,7 +31,7 @@
 // Lock order: mu, then the fleet's.
 type surveying struct {
 	entry     *Entry
-	sightings *distribution.Sightings
+	sightings *distribution.TargetStatuses
 
 	mu        sync.Mutex
 	outlook   *membership.HallReporters
@@ -44,7 +44,7 @@
 
 func newSurveying(e *Entry) *surveying {
 	return &surveying{
-		entry: e, sightings: distribution.NewSightings(),
+		entry: e, sightings: distribution.NewTargetStatuses(),
 		outlook: membership.NewHallReporters(domain.HallName(e.settings().Hall)), halls: map[domain.HallName]bool{},
 	}
 }
@@ -231,7 +231,7 @@
 			at := now.Add(-x.Ago)
 			target, _ := ros.Get(x.ID)
 			s.outlook.Received(target.Hall(), x.ID, at)
-			s.sightings.Receive(at, x)
+			s.sightings.RecordFromPeer(at, x)
 			own := domain.Rank{Epoch: uint64(x.Epoch), Open: x.Open}
 			if ros.Reported(at, x.ID, own, uint64(x.Step), x.Running > 0) {
 				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Slowdown: float64(x.Pace)})
--- a/node/watching.go
+++ b/node/watching.go
@@ -138,7 +138,7 @@
 	if err != nil {
 		if boxSilent(err) {
 			w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.Unreachable(clock.Now(), id) })
-			w.surveying.sightings.Missed(id)
+			w.surveying.sightings.MarkUnreachable(id)
 		}
 		return err
 	}
@@ -146,7 +146,7 @@
 		w.otherStart(id, report.Born)
 		return nil
 	}
-	w.surveying.sightings.Saw(clock.Now(), id, report)
+	w.surveying.sightings.RecordReport(clock.Now(), id, report)
 	w.take(id, report)
 	if report.Leaving {
 		w.entry.fleet.leaves(clock.Now(), id, "agent")
