--- a/node/distribution/distribution_test.go
+++ b/node/distribution/distribution_test.go
@@ -275,17 +275,17 @@
 func TestAFewBoxesTellAnAgentSoon(t *testing.T) {
 	wait := func(boxes int) time.Duration {
 		u := distribution.NewGroupUpdate(1)
-		u.Among(boxes)
+		u.SetBoxes(boxes)
 		u.Acknowledged(1)
 		u.Due(begin, 2)
-		return u.Waits(begin)
+		return u.Delay(begin)
 	}
 	if few, many := wait(3), wait(30); few <= 0 || few > many/8 {
 		t.Errorf("one of three waits for %v, one of thirty for %v", few, many)
 	}
 	u := distribution.NewGroupUpdate(1)
 	u.Acknowledged(2)
-	if u.Due(begin, 2) || u.Waits(begin) != 0 {
+	if u.Due(begin, 2) || u.Delay(begin) != 0 {
 		t.Error("an agent that knows its group is waited for")
 	}
 }
--- a/node/distribution/group_update.go
+++ b/node/distribution/group_update.go
@@ -37,15 +37,15 @@
 	return &GroupUpdate{chance: chance, wait: time.Duration(chance * float64(updateSpread))}
 }
 
-// Among sets how many boxes ask the agent: the fewer, the sooner each may update it.
-func (u *GroupUpdate) Among(boxes int) {
+// SetBoxes sets how many boxes ask the agent: the fewer, the sooner each may update it.
+func (u *GroupUpdate) SetBoxes(boxes int) {
 	spread := updateSpread * time.Duration(min(boxes, updateBoxes)) / updateBoxes
 	u.wait = time.Duration(u.chance * float64(spread))
 }
 
-// Waits is for how long from now the agent is not updated though it lacks its group; zero if
+// Delay is for how long from now the agent is not updated though it lacks its group; zero if
 // no update is due.
-func (u *GroupUpdate) Waits(now time.Time) time.Duration {
+func (u *GroupUpdate) Delay(now time.Time) time.Duration {
 	if u.unknown.IsZero() {
 		return 0
 	}
--- a/node/watching.go
+++ b/node/watching.go
@@ -89,13 +89,13 @@
 	for ctx.Err() == nil {
 		askers := w.askers(id)
 		usual := everyAmong(askers)
-		update.Among(askers)
+		update.SetBoxes(askers)
 		if err := w.ask(ctx, id, update); err != nil {
 			pause = max(min(pause*2, watchPauseMost), usual)
 		} else {
 			pause = usual
 		}
-		if waits := update.Waits(clock.Now()); waits > 0 {
+		if waits := update.Delay(clock.Now()); waits > 0 {
 			pause = min(pause, waits)
 		}
 		clock.SleepUntil(ctx, clock.Now().Add(pause))
