--- a/node/entry.go
+++ b/node/entry.go
@@ -96,12 +96,12 @@
 
 // command hands an order on for the coordinator of a group.
 func (e *Entry) command(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
-	return rank.HandOn(ctx, e.common, e.engines, c)
+	return rank.ForwardOrder(ctx, e.common, e.engines, c)
 }
 
 // deal hands an order on to many engines.
 func (e *Entry) deal(ctx context.Context, c *mesh.DealCall) (*mesh.DealReply, error) {
-	return rank.DealOut(ctx, e.common, e.engines, c)
+	return rank.ForwardToEngines(ctx, e.common, e.engines, c)
 }
 
 // Run serves until leave is closed, then finishes what is in flight and returns.
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -264,7 +264,7 @@
 		return nil, fault.New(fault.BadRequest, "a call without an order")
 	}
 	if c.Engine != "" {
-		return HandOn(ctx, a.common, a.http, c)
+		return ForwardOrder(ctx, a.common, a.http, c)
 	}
 	res, err := a.give(ctx, a.engine, orders.Call{Epoch: c.Epoch, Fence: c.Fence, Order: o})
 	if err != nil {
--- a/node/rank/orders.go
+++ b/node/rank/orders.go
@@ -23,9 +23,9 @@
 	return res, err
 }
 
-// HandOn gives an order to the engine that the call names, for another group's
+// ForwardOrder gives an order to the engine that the call names, for another group's
 // coordinator.
-func HandOn(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.OrderCall) (*mesh.OrderReply, error) {
+func ForwardOrder(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.OrderCall) (*mesh.OrderReply, error) {
 	o := call.Order()
 	if o == nil || call.Engine == "" {
 		return nil, fault.New(fault.BadRequest, "a call without an order or an engine")
--- a/node/rank/relaying.go
+++ b/node/rank/relaying.go
@@ -72,7 +72,7 @@
 // deal hands an order to ranks of the own group, or to engines elsewhere.
 func (a *Agent) deal(ctx context.Context, c *mesh.DealCall) (*mesh.DealReply, error) {
 	if len(c.Engines) > 0 {
-		return DealOut(ctx, a.common, a.http, c)
+		return ForwardToEngines(ctx, a.common, a.http, c)
 	}
 	members, ok := a.membersIn(c.Order.Epoch)
 	if !ok {
@@ -114,9 +114,9 @@
 // dealMost bounds how long orders are handed out for another group, whatever its coordinator asks.
 const dealMost = time.Second
 
-// DealOut gives one order to all engines that the call names, for the coordinator of a
+// ForwardToEngines gives one order to all engines that the call names, for the coordinator of a
 // group that is not the own.
-func DealOut(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.DealCall) (*mesh.DealReply, error) {
+func ForwardToEngines(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.DealCall) (*mesh.DealReply, error) {
 	o := call.Order.Order()
 	if o == nil {
 		return nil, fault.New(fault.BadRequest, "a call without an order")
