--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -20,9 +20,9 @@
 // The times of an agent.
 const (
 	// readEvery is the time between two looks at the own engine: a few steps.
-	readEvery = 100 * time.Millisecond
+	readInterval = 100 * time.Millisecond
 	// engineWithin bounds a call to the own engine, which answers in milliseconds.
-	engineWithin = 300 * time.Millisecond
+	engineTimeout = 300 * time.Millisecond
 )
 
 // Agent is the process beside a model engine. It reads the engine, gives it the
@@ -37,17 +37,17 @@
 	http     *http.Client
 	mesh     *mesh.Client
 
-	mu      sync.Mutex
-	report  platform.Report
-	readAt  time.Time
-	members map[int]mesh.Member // of the own group, by rank
-	epoch   orders.Epoch        // of the members
-	shape   *rebalance.Shape
-	helpers *distribution.Forwarders // processes that hand orders on
-	turn    *orders.Election      // whether this rank is to coordinate
-	picks   *distribution.CountDeltas
-	maps    *distribution.ReceivedMaps
-	lost    bool // the engine does not answer
+	mu           sync.Mutex
+	report       platform.Report
+	readAt       time.Time
+	members      map[int]mesh.Member // of the own group, by rank
+	epoch        orders.Epoch        // of the members
+	shape        *rebalance.Shape
+	forwarders   *distribution.Forwarders // processes that hand orders on
+	election     *orders.Election         // whether this rank is to coordinate
+	countDeltas  *distribution.CountDeltas
+	receivedMaps *distribution.ReceivedMaps
+	engineLost   bool // the engine does not answer
 }
 
 // NewAgent returns the process. now gives its settings as they are now.
@@ -56,15 +56,15 @@
 	client := process.HTTPClient(n)
 	return &Agent{
 		common: c, network: n, settings: now, http: client,
-		engine: platform.NewEngine(s.Engine, client),
-		mesh:   mesh.NewClient(n.Dial),
-		turn:   orders.NewElection(clock.Now()), helpers: distribution.NewForwarders(),
-		picks: distribution.NewCountDeltas(), maps: distribution.NewReceivedMaps(),
+		engine:   platform.NewEngine(s.Engine, client),
+		mesh:     mesh.NewClient(n.Dial),
+		election: orders.NewElection(clock.Now()), forwarders: distribution.NewForwarders(),
+		countDeltas: distribution.NewCountDeltas(), receivedMaps: distribution.NewReceivedMaps(),
 	}
 }
 
 // Run serves until leave is closed.
-func (a *Agent) Run(leave <-chan struct{}) error {
+func (a *Agent) Run(stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l, err := a.network.Listen(a.settings().Peers)
@@ -77,69 +77,69 @@
 		return err
 	}
 	a.common.Log.Info("started", "hall", a.settings().Hall, "engine", a.settings().Engine, "peers", a.settings().Peers)
-	d := newGroupDuty(a)
+	g := newGroupCoordinator(a)
 	done := make(chan struct{})
 	go func() {
-		d.run(ctx)
+		g.run(ctx)
 		close(done)
 	}()
 	select {
 	case err := <-failed:
 		return err
-	case <-leave:
+	case <-stop:
 	}
-	return a.leave(d, done, cancel)
+	return a.stop(g, done, cancel)
 }
 
 // leave lets an attempt to change maps come to its end, so that the group is not
 // left held.
-func (a *Agent) leave(d *groupDuty, done <-chan struct{}, cancel context.CancelFunc) error {
-	began := clock.Now()
+func (a *Agent) stop(g *groupCoordinator, done <-chan struct{}, cancel context.CancelFunc) error {
+	startedAt := clock.Now()
 	a.common.Log.Info("leaving")
-	d.stop()
+	g.beginStop()
 	select {
 	case <-done:
 	case <-time.After(a.settings().Bounds.Stop.Std() - process.StopMargin):
 		a.common.Log.Warn("stopped during a change of maps")
 	}
 	cancel()
-	a.common.Log.Info("stopped", "after", clock.Since(began))
+	a.common.Log.Info("stopped", "after", clock.Since(startedAt))
 	return nil
 }
 
 func (a *Agent) mux() *mesh.Mux {
 	m := mesh.NewMux()
-	mesh.Handle(m, mesh.Watch, a.watch)
-	mesh.Handle(m, mesh.Read, a.read)
-	mesh.Handle(m, mesh.Command, a.command)
-	mesh.Handle(m, mesh.Gather, a.gather)
-	mesh.Handle(m, mesh.Deal, a.deal)
+	mesh.Handle(m, mesh.Watch, a.handleWatch)
+	mesh.Handle(m, mesh.Read, a.handleRead)
+	mesh.Handle(m, mesh.Command, a.handleCommand)
+	mesh.Handle(m, mesh.Gather, a.handleGather)
+	mesh.Handle(m, mesh.Deal, a.handleDeal)
 	return m
 }
 
 // watch answers an entry box.
-func (a *Agent) watch(ctx context.Context, q *mesh.WatchQuery) (*mesh.RankReport, error) {
+func (a *Agent) handleWatch(ctx context.Context, q *mesh.WatchQuery) (*mesh.RankReport, error) {
 	if len(q.Members) > 0 {
-		a.learn(q)
+		a.updateMembers(q)
 	}
-	r, err := a.look(ctx, readEvery)
+	r, err := a.engineReport(ctx, readInterval)
 	if err != nil {
 		return nil, err
 	}
-	out := reportOf(r)
-	out.Knows = a.knows()
+	out := rankReport(r)
+	out.Knows = a.memberEpoch()
 	return out, nil
 }
 
 // knows is the epoch for which the group's members are known.
-func (a *Agent) knows() orders.Epoch {
+func (a *Agent) memberEpoch() orders.Epoch {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.epoch
 }
 
 // learn takes who the other ranks are.
-func (a *Agent) learn(q *mesh.WatchQuery) {
+func (a *Agent) updateMembers(q *mesh.WatchQuery) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if q.Epoch < a.epoch {
@@ -147,10 +147,10 @@
 	}
 	if q.Epoch > a.epoch || a.members == nil {
 		a.common.Log.Info("group received", "epoch", q.Epoch, "ranks", len(q.Members), "before", a.epoch)
-		a.turn.MembersReceived(clock.Now())
+		a.election.MembersReceived(clock.Now())
 	}
 	a.epoch, a.shape = q.Epoch, q.Shape
-	a.helpers.Add(clock.Now(), q.Helpers)
+	a.forwarders.Add(clock.Now(), q.Helpers)
 	a.members = make(map[int]mesh.Member, len(q.Members))
 	for _, m := range q.Members {
 		a.members[m.Rank] = m
@@ -158,17 +158,17 @@
 }
 
 // look gives the state of the engine, read at the most so long ago.
-func (a *Agent) look(ctx context.Context, age time.Duration) (platform.Report, error) {
+func (a *Agent) engineReport(ctx context.Context, age time.Duration) (platform.Report, error) {
 	a.mu.Lock()
 	r, at := a.report, a.readAt
 	a.mu.Unlock()
 	if clock.Since(at) < age {
 		return r, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, engineWithin)
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	r, err := a.engine.Report(ctx)
-	a.noteEngine(err)
+	a.recordEngineState(err)
 	if err != nil {
 		return r, err
 	}
@@ -180,18 +180,18 @@
 	if before := a.report; before.Rank.Epoch != r.Rank.Epoch || before.Rank.Open != r.Rank.Open {
 		a.common.Log.Info("group changed", "group", r.Rank.Group, "rank", r.Rank.Number, "epoch", r.Rank.Epoch, "open", r.Rank.Open,
 			"epoch_before", before.Rank.Epoch, "open_before", before.Rank.Open, "step", r.State.Step)
-		a.turn.GroupStateChanged(clock.Now())
+		a.election.GroupStateChanged(clock.Now())
 	}
 	a.report, a.readAt = r, clock.Now()
 	return r, nil
 }
 
 // noteEngine logs when the engine is lost or answers again.
-func (a *Agent) noteEngine(err error) {
+func (a *Agent) recordEngineState(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if lost := err != nil; lost != a.lost {
-		a.lost = lost
+	if lost := err != nil; lost != a.engineLost {
+		a.engineLost = lost
 		if lost {
 			a.common.Log.Warn("engine lost", "engine", a.settings().Engine, "err", err)
 		} else {
@@ -200,7 +200,7 @@
 	}
 }
 
-func reportOf(r platform.Report) *mesh.RankReport {
+func rankReport(r platform.Report) *mesh.RankReport {
 	return &mesh.RankReport{
 		Born: r.Born, Group: r.Rank.Group, Rank: r.Rank.Number, Size: r.Rank.Size, State: r.State,
 		Running: r.Running, Waiting: r.Waiting, Pace: r.Pace, Leaving: r.Leaving,
@@ -208,28 +208,28 @@
 }
 
 // read answers the coordinator of the group.
-func (a *Agent) read(ctx context.Context, q *mesh.ReadQuery) (*mesh.RankReport, error) {
+func (a *Agent) handleRead(ctx context.Context, q *mesh.ReadQuery) (*mesh.RankReport, error) {
 	a.mu.Lock()
-	a.turn.ReadBy(clock.Now(), q.From)
+	a.election.ReadBy(clock.Now(), q.From)
 	a.mu.Unlock()
 	return a.readOwn(ctx, q)
 }
 
 // readOwn reads the own engine as a coordinator wants it.
 func (a *Agent) readOwn(ctx context.Context, q *mesh.ReadQuery) (*mesh.RankReport, error) {
-	ctx, cancel := context.WithTimeout(ctx, engineWithin)
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
-	r, err := a.look(ctx, 0)
+	r, err := a.engineReport(ctx, 0)
 	if err != nil {
 		return nil, err
 	}
-	out := reportOf(r)
+	out := rankReport(r)
 	if q.Picked {
 		born, counts, err := a.engine.Counts(ctx)
 		if err != nil {
 			return nil, err
 		}
-		out.Picked = a.picks.Since(clock.Now(), distribution.Requester{Group: r.Rank.Group, Rank: q.From}, born, counts)
+		out.Picked = a.countDeltas.Since(clock.Now(), distribution.Requester{Group: r.Rank.Group, Rank: q.From}, born, counts)
 	}
 	if q.Holds {
 		version, holds, err := a.engine.Holds(ctx)
@@ -246,17 +246,17 @@
 
 // readFar reads another rank's engine itself, without its counts. What it reports is a
 // little old; the orders that follow are not given on its report alone.
-func (a *Agent) readFar(ctx context.Context, m mesh.Member) (*mesh.RankReport, error) {
+func (a *Agent) readEngine(ctx context.Context, m mesh.Member) (*mesh.RankReport, error) {
 	r, err := a.engineAt(m).Report(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return reportOf(r), nil
+	return rankReport(r), nil
 }
 
 // command gives an order to the engine, or to another that the call names.
-func (a *Agent) command(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
-	if err := a.maps.Expand(c); err != nil {
+func (a *Agent) handleCommand(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
+	if err := a.receivedMaps.Expand(c); err != nil {
 		return nil, err
 	}
 	o := c.Order()
@@ -266,7 +266,7 @@
 	if c.Engine != "" {
 		return ForwardOrder(ctx, a.common, a.http, c)
 	}
-	res, err := a.give(ctx, a.engine, orders.Call{Epoch: c.Epoch, Fence: c.Fence, Order: o})
+	res, err := a.sendToEngine(ctx, a.engine, orders.Call{Epoch: c.Epoch, Fence: c.Fence, Order: o})
 	if err != nil {
 		return nil, err
 	}
@@ -274,15 +274,15 @@
 }
 
 // give gives an order to an engine.
-func (a *Agent) give(ctx context.Context, e *platform.Engine, c orders.Call) (orders.Result, error) {
-	return giveOrder(ctx, a.common, e, c)
+func (a *Agent) sendToEngine(ctx context.Context, e *platform.Engine, c orders.Call) (orders.Result, error) {
+	return issueOrder(ctx, a.common, e, c)
 }
 
 // leads reports whether this rank is to coordinate.
 func (a *Agent) leads(now time.Time, rank int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.turn.Leads(now, rank)
+	return a.election.Leads(now, rank)
 }
 
 // membersIn are the ranks of the group in the epoch; false if they are not known.
@@ -293,7 +293,7 @@
 }
 
 // group gives what is known of the group in the epoch; false if that is not enough.
-func (a *Agent) group(e orders.Epoch, size int) (map[int]mesh.Member, rebalance.Shape, bool) {
+func (a *Agent) groupIn(e orders.Epoch, size int) (map[int]mesh.Member, rebalance.Shape, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.epoch != e || a.shape == nil || len(a.members) != size {
--- a/node/rank/groupcoordinator.go
+++ b/node/rank/groupcoordinator.go
@@ -17,71 +17,71 @@
 // The times of coordinating a group.
 const (
 	// dutyTick is the time between two looks at what is due: less than a step.
-	dutyTick = 20 * time.Millisecond
+	coordinatorTick = 20 * time.Millisecond
 	// idleTick is the same for a rank that does not coordinate: several looks within the
 	// silence after which it would.
 	idleTick = 100 * time.Millisecond
 	// readWithin bounds a read of another rank.
-	readWithin = 250 * time.Millisecond
+	readTimeout = 250 * time.Millisecond
 	// orderWithin bounds an order to another rank; the coordinator gives it again.
-	orderWithin = 150 * time.Millisecond
+	orderTimeout = 150 * time.Millisecond
 	// muteFor is how long an agent that did not answer is passed by: its engine is
 	// asked itself, which the platform charges for. Together with a read that waits in
 	// vain it is shorter than the silence after which the next rank takes over: an agent that is only slow must not take
 	// the coordinator for lost.
-	muteFor = 200 * time.Millisecond
+	unresponsivePeriod = 200 * time.Millisecond
 	// tellingAtOnce is how long whole maps that are told at the same time may fill this
 	// box's link: what is sent behind them waits no longer.
-	tellingAtOnce = 25 * time.Millisecond
+	parallelMapSendTime = 25 * time.Millisecond
 	// afterwards is how long after an attempt its ranks are read more often: until the
 	// armed step has begun, a few steps later.
-	afterwards = 250 * time.Millisecond
+	frequentReadPeriod = 250 * time.Millisecond
 	// linkShare is the part of the box's link that reading and telling maps may take;
 	// the rest is the engine's and the requests'.
 	linkShare = 0.4
 	// placeBytes and pickBytes are what one place of a map and one count of chosen
 	// experts take on the wire, and reportBytes what the rest of a report does.
-	placeBytes, pickBytes, reportBytes = 2, 1, 300
+	bytesPerSlot, bytesPerCount, reportBytes = 2, 1, 300
 	// rowHead is how many places the head of a row takes as much as.
-	rowHead = 3
+	rowHeaderSlots = 3
 	// slowdown is how much longer steps are while ranks copy, as the platform says.
-	slowdown = 0.15
+	copySlowdown = 0.15
 )
 
 // groupDuty coordinates the group of the agent's rank while no lower rank does. One
 // goroutine owns all of it but what is under mu.
-type groupDuty struct {
+type groupCoordinator struct {
 	agent   *Agent
 	numbers *orders.NumberGenerator // of this process
 	results chan event
 
-	rank     int
-	size     int
-	group    string
-	coord    *orders.Coordinator
-	members  map[int]mesh.Member
-	shape    rebalance.Shape
-	counts   *distribution.Counter
-	estimate *rebalance.Estimate
-	paces    []float64       // by rank, as last reported
-	holds    map[int][][]int // of the map in use, by rank
-	holdsOf  orders.Version
-	readAt   time.Time            // all ranks
-	lookedAt time.Time            // those that an attempt waits for
-	pickedAt time.Time            // when all ranks were last asked what was chosen
-	relays   *distribution.Relays // nil where every rank is spoken to by itself
-	reach    time.Duration        // that the slowest reads take
-	overhead time.Duration        // that changes take beside copies
-	copying  time.Duration        // that the proposed map takes to copy
-	told     *distribution.SentMaps
-	rows     int           // that the proposed map differs in from the one in use
-	tellers  chan struct{} // one for each whole map that may be on its way
-	endedAt  time.Time     // the last attempt
-	due      bool          // the estimate moved since the last plan
-	reading  map[int]bool
-	leading  bool
-	mute     *muteRanks
-	unread   map[int]bool // ranks whose last read failed
+	rank            int
+	size            int
+	group           string
+	coord           *orders.Coordinator
+	members         map[int]mesh.Member
+	shape           rebalance.Shape
+	counts          *distribution.Counter
+	estimate        *rebalance.Estimate
+	slowdowns       []float64       // by rank, as last reported
+	experts         map[int][][]int // of the map in use, by rank
+	expertsVersion  orders.Version
+	lastFullRead    time.Time            // all ranks
+	lastPartialRead time.Time            // those that an attempt waits for
+	lastCountsRead  time.Time            // when all ranks were last asked what was chosen
+	relays          *distribution.Relays // nil where every rank is spoken to by itself
+	readTime        time.Duration        // that the slowest reads take
+	overhead        time.Duration        // that changes take beside copies
+	copyTime        time.Duration        // that the proposed map takes to copy
+	sentMaps        *distribution.SentMaps
+	changedRows     int           // that the proposed map differs in from the one in use
+	mapSends        chan struct{} // one for each whole map that may be on its way
+	lastAttemptEnd  time.Time     // the last attempt
+	planDue         bool          // the estimate moved since the last plan
+	readInFlight    map[int]bool
+	leading         bool
+	unresponsive    *unresponsiveAgents
+	readFailed      map[int]bool // ranks whose last read failed
 
 	mu       sync.Mutex
 	stopping bool
@@ -92,58 +92,58 @@
 type event interface{ event() }
 
 type readDone struct {
-	rank   int
-	epoch  orders.Epoch // for which it was asked
-	picked bool         // it was asked what was chosen
-	began  time.Time
-	report *mesh.RankReport
-	err    error
+	rank       int
+	epoch      orders.Epoch // for which it was asked
+	withCounts bool         // it was asked what was chosen
+	startedAt  time.Time
+	report     *mesh.RankReport
+	err        error
 }
 
 // gatherDone is what a relay brought of a part.
 type gatherDone struct {
-	part   distribution.Assignment
-	epoch  orders.Epoch
-	picked bool
-	began  time.Time
-	report *mesh.Gathered
-	err    error
+	assignment distribution.Assignment
+	epoch      orders.Epoch
+	withCounts bool
+	startedAt  time.Time
+	report     *mesh.Gathered
+	err        error
 }
 
 type orderDone struct {
-	call   orders.Call
-	agent  bool // it went through the agent of its rank
-	result orders.Result
-	err    error
+	call     orders.Call
+	viaAgent bool // it went through the agent of its rank
+	result   orders.Result
+	err      error
 }
 
 // dealDone is what became of orders that were given many at once.
-type dealDone struct{ orders []orderDone }
+type batchDone struct{ orders []orderDone }
 
 func (readDone) event()   {}
 func (gatherDone) event() {}
 func (orderDone) event()  {}
-func (dealDone) event()   {}
+func (batchDone) event()  {}
 
-func newGroupDuty(a *Agent) *groupDuty {
-	return &groupDuty{agent: a, numbers: orders.NewNumberGenerator(uint16(rand.Uint32())), results: make(chan event, 64), reading: map[int]bool{}, mute: newMuteRanks(), unread: map[int]bool{}}
+func newGroupCoordinator(a *Agent) *groupCoordinator {
+	return &groupCoordinator{agent: a, numbers: orders.NewNumberGenerator(uint16(rand.Uint32())), results: make(chan event, 64), readInFlight: map[int]bool{}, unresponsive: newUnresponsiveAgents(), readFailed: map[int]bool{}}
 }
 
 // stop makes run return once no attempt is under way.
-func (d *groupDuty) stop() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.stopping = true
+func (g *groupCoordinator) beginStop() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.stopping = true
 }
 
-func (d *groupDuty) isStopping() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.stopping
+func (g *groupCoordinator) isStopping() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.stopping
 }
 
 // run does the duty until ctx ends, or until it is to stop and nothing is held.
-func (d *groupDuty) run(ctx context.Context) {
+func (g *groupCoordinator) run(ctx context.Context) {
 	tick := time.NewTicker(idleTick)
 	defer tick.Stop()
 	every := idleTick
@@ -151,128 +151,128 @@
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-d.results:
-			d.take(e)
+		case e := <-g.results:
+			g.handleEvent(e)
 		case <-tick.C:
-			d.tick(ctx)
+			g.tick(ctx)
 		}
-		if d.coord != nil {
-			d.next(ctx)
+		if g.coord != nil {
+			g.issueOrders(ctx)
 		}
-		if want := d.tickEvery(); want != every {
+		if want := g.tickInterval(); want != every {
 			every = want
 			tick.Reset(want)
 		}
-		if d.isStopping() && (d.coord == nil || !d.coord.Holding()) {
+		if g.isStopping() && (g.coord == nil || !g.coord.Holding()) {
 			return
 		}
 	}
 }
 
 // tickEvery is the time between two looks at what is due.
-func (d *groupDuty) tickEvery() time.Duration {
-	if d.coord == nil || !d.leading && d.coord.Idle() {
+func (g *groupCoordinator) tickInterval() time.Duration {
+	if g.coord == nil || !g.leading && g.coord.Idle() {
 		return idleTick
 	}
-	return dutyTick
+	return coordinatorTick
 }
 
-func (d *groupDuty) take(e event) {
+func (g *groupCoordinator) handleEvent(e event) {
 	now := clock.Now()
 	switch e := e.(type) {
 	case readDone:
-		d.tookRead(now, e)
+		g.handleRead(now, e)
 	case gatherDone:
-		d.tookGather(now, e)
+		g.handleGather(now, e)
 	case orderDone:
-		d.tookOrder(now, e)
-	case dealDone:
+		g.handleOrder(now, e)
+	case batchDone:
 		for _, o := range e.orders {
-			d.tookOrder(now, o)
+			g.handleOrder(now, o)
 		}
 	}
 }
 
 // tick looks at the own engine, decides whether to coordinate, and reads the ranks.
-func (d *groupDuty) tick(ctx context.Context) {
+func (g *groupCoordinator) tick(ctx context.Context) {
 	now := clock.Now()
-	if now.Sub(d.readAt) < readEvery && !d.busy() {
+	if now.Sub(g.lastFullRead) < readInterval && !g.awaitsReads() {
 		return
 	}
-	own, err := d.agent.look(ctx, readEvery/2)
+	own, err := g.agent.engineReport(ctx, readInterval/2)
 	if err != nil || own.Rank.Size < 1 {
 		return
 	}
-	d.follow(now, own)
-	if d.coord == nil || !d.leading {
+	g.updateRole(now, own)
+	if g.coord == nil || !g.leading {
 		return
 	}
-	switch since := now.Sub(d.readAt); {
-	case since >= readEvery:
-		d.readAt, d.lookedAt = now, now
-		d.reach = time.Duration(reachFade * float64(d.reach))
-		d.readRanks(ctx, func(int) bool { return true })
-	case d.busy() && (now.Sub(d.lookedAt) >= readEvery/2 || d.coord.AllPrepared()):
-		d.lookedAt = now
-		d.readRanks(ctx, func(r int) bool { return r == d.rank || d.coord.NeedsRead(now, r) })
+	switch since := now.Sub(g.lastFullRead); {
+	case since >= readInterval:
+		g.lastFullRead, g.lastPartialRead = now, now
+		g.readTime = time.Duration(readTimeDecay * float64(g.readTime))
+		g.readRanks(ctx, func(int) bool { return true })
+	case g.awaitsReads() && (now.Sub(g.lastPartialRead) >= readInterval/2 || g.coord.AllPrepared()):
+		g.lastPartialRead = now
+		g.readRanks(ctx, func(r int) bool { return r == g.rank || g.coord.NeedsRead(now, r) })
 	}
 }
 
 // busy reports that an attempt, or what follows one, waits for something that only
 // reads show.
-func (d *groupDuty) busy() bool {
-	return d.coord != nil && (!d.coord.Idle() || clock.Since(d.endedAt) < afterwards)
+func (g *groupCoordinator) awaitsReads() bool {
+	return g.coord != nil && (!g.coord.Idle() || clock.Since(g.lastAttemptEnd) < frequentReadPeriod)
 }
 
 // follow starts to coordinate, or stops, as the group and the other ranks want it.
-func (d *groupDuty) follow(now time.Time, own platform.Report) {
-	leading := d.agent.leads(now, own.Rank.Number) && own.State.Open
-	members, shape, known := d.agent.group(own.State.Epoch, own.Rank.Size)
-	if d.coord != nil && d.coord.Epoch() != own.State.Epoch {
-		d.log("group formed anew", "epoch", own.State.Epoch, "before", d.coord.Epoch())
-		d.coord = nil
+func (g *groupCoordinator) updateRole(now time.Time, own platform.Report) {
+	leading := g.agent.leads(now, own.Rank.Number) && own.State.Open
+	members, shape, known := g.agent.groupIn(own.State.Epoch, own.Rank.Size)
+	if g.coord != nil && g.coord.Epoch() != own.State.Epoch {
+		g.log("group formed anew", "epoch", own.State.Epoch, "before", g.coord.Epoch())
+		g.coord = nil
 	}
 	if !known {
 		return
 	}
-	if d.coord == nil && leading {
-		d.begin(own, members, shape)
+	if g.coord == nil && leading {
+		g.startCoordinating(own, members, shape)
 	}
-	if d.coord != nil && leading != d.leading {
-		d.log("coordinating", "leading", leading, "epoch", own.State.Epoch, "relays", d.parts())
+	if g.coord != nil && leading != g.leading {
+		g.log("coordinating", "leading", leading, "epoch", own.State.Epoch, "relays", g.relayPartitions())
 	}
-	d.leading = leading || d.coord != nil && d.coord.Holding()
+	g.leading = leading || g.coord != nil && g.coord.Holding()
 }
 
 // parts is how many relays there are.
-func (d *groupDuty) parts() int {
-	if d.relays == nil {
+func (g *groupCoordinator) relayPartitions() int {
+	if g.relays == nil {
 		return 0
 	}
-	return d.relays.Partitions()
+	return g.relays.Partitions()
 }
 
-func (d *groupDuty) begin(own platform.Report, members map[int]mesh.Member, shape rebalance.Shape) {
-	d.rank, d.size, d.group = own.Rank.Number, own.Rank.Size, string(own.Rank.Group)
-	shape.Ranks = d.size
-	d.members, d.shape = members, shape
-	d.coord = orders.NewCoordinator(d.rank, d.size, own.State.Epoch, d.numbers)
-	d.counts = distribution.NewCounter(shape)
-	d.holds, d.holdsOf = map[int][][]int{}, 0
-	clear(d.reading)
-	d.mute.reset()
-	d.told = distribution.NewSentMaps()
-	d.relays, d.reach = nil, 0
-	if d.useRelays() {
-		d.relays = distribution.NewRelays(d.rank, members)
+func (g *groupCoordinator) startCoordinating(own platform.Report, members map[int]mesh.Member, shape rebalance.Shape) {
+	g.rank, g.size, g.group = own.Rank.Number, own.Rank.Size, string(own.Rank.Group)
+	shape.Ranks = g.size
+	g.members, g.shape = members, shape
+	g.coord = orders.NewCoordinator(g.rank, g.size, own.State.Epoch, g.numbers)
+	g.counts = distribution.NewCounter(shape)
+	g.experts, g.expertsVersion = map[int][][]int{}, 0
+	clear(g.readInFlight)
+	g.unresponsive.reset()
+	g.sentMaps = distribution.NewSentMaps()
+	g.relays, g.readTime = nil, 0
+	if g.needsRelays() {
+		g.relays = distribution.NewRelays(g.rank, members)
 	}
-	d.tellers = make(chan struct{}, max(1, int(tellingAtOnce/max(d.tellingOne(), 1))))
-	d.rows = 0
-	d.overhead = max(d.overhead, d.telling())
-	d.estimate = rebalance.NewEstimate(shape)
-	d.paces = make([]float64, d.size)
+	g.mapSends = make(chan struct{}, max(1, int(parallelMapSendTime/max(g.wholeMapSendTime(), 1))))
+	g.changedRows = 0
+	g.overhead = max(g.overhead, g.distributionTime())
+	g.estimate = rebalance.NewEstimate(shape)
+	g.slowdowns = make([]float64, g.size)
 }
 
-func (d *groupDuty) log(msg string, attrs ...any) {
-	d.agent.common.Log.Info(msg, append([]any{"group", d.group, "rank", d.rank}, attrs...)...)
+func (g *groupCoordinator) log(msg string, attrs ...any) {
+	g.agent.common.Log.Info(msg, append([]any{"group", g.group, "rank", g.rank}, attrs...)...)
 }
--- a/node/rank/orders.go
+++ b/node/rank/orders.go
@@ -14,12 +14,12 @@
 )
 
 // giveOrder gives an order to an engine, counts it and times it.
-func giveOrder(ctx context.Context, c telemetry.Common, e *platform.Engine, call orders.Call) (orders.Result, error) {
-	began := clock.Now()
-	ctx, cancel := context.WithTimeout(ctx, engineWithin)
+func issueOrder(ctx context.Context, c telemetry.Common, e *platform.Engine, call orders.Call) (orders.Result, error) {
+	startedAt := clock.Now()
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	res, err := e.Order(ctx, call.Epoch, call.Fence, call.Order)
-	c.Metrics.Observe(telemetry.OrderTime, orders.Name(call.Order)+" "+res.String(), clock.Since(began))
+	c.Metrics.Observe(telemetry.OrderTime, orders.Name(call.Order)+" "+res.String(), clock.Since(startedAt))
 	return res, err
 }
 
@@ -30,7 +30,7 @@
 	if o == nil || call.Engine == "" {
 		return nil, fault.New(fault.BadRequest, "a call without an order or an engine")
 	}
-	res, err := giveOrder(ctx, c, platform.NewEngine(call.Engine, client), orders.Call{Epoch: call.Epoch, Fence: call.Fence, Order: o})
+	res, err := issueOrder(ctx, c, platform.NewEngine(call.Engine, client), orders.Call{Epoch: call.Epoch, Fence: call.Fence, Order: o})
 	if err != nil {
 		return nil, err
 	}
@@ -41,40 +41,40 @@
 // the moment in which it gives an order under a hold leaves in doubt what its own engine
 // was told, and until it is back the group is held; a box without a rank of the group
 // leaves no doubt, since every engine can still be asked.
-func (a *Agent) through(ctx context.Context, helper string, m mesh.Member, c orders.Call) (orders.Result, error) {
+func (a *Agent) sendViaForwarder(ctx context.Context, forwarder string, m mesh.Member, c orders.Call) (orders.Result, error) {
 	call := mesh.CallOf(c)
 	call.Engine = m.Target
-	reply, err := mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, helper, mesh.Command, call)
+	reply, err := mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, forwarder, mesh.Command, call)
 	if err != nil {
-		a.helpers.ReportFailure(helper)
+		a.forwarders.ReportFailure(forwarder)
 		return orders.Lost, err
 	}
 	return reply.Result, nil
 }
 
 // holdLook is the time between two looks whether the own engine holds.
-const holdLook = 8 * time.Millisecond
+const holdPollInterval = 8 * time.Millisecond
 
 // holdThrough has the own engine hold a step by way of a helper. The hold is seen at the
 // own engine even if the helper ends before it answers. If the helper cannot be reached,
 // this agent gives the order itself.
-func (a *Agent) holdThrough(ctx context.Context, helper string, own mesh.Member, c orders.Call) (orders.Result, error) {
-	answer := make(chan orderDone, 1)
+func (a *Agent) holdViaForwarder(ctx context.Context, forwarder string, own mesh.Member, c orders.Call) (orders.Result, error) {
+	response := make(chan orderDone, 1)
 	go func() {
-		res, err := a.through(ctx, helper, own, c)
-		answer <- orderDone{result: res, err: err}
+		res, err := a.sendViaForwarder(ctx, forwarder, own, c)
+		response <- orderDone{result: res, err: err}
 	}()
-	look := time.NewTicker(holdLook)
-	defer look.Stop()
+	poll := time.NewTicker(holdPollInterval)
+	defer poll.Stop()
 	for {
 		select {
-		case d := <-answer:
-			if d.err != nil && ctx.Err() == nil {
-				return a.give(ctx, a.engine, c)
+		case done := <-response:
+			if done.err != nil && ctx.Err() == nil {
+				return a.sendToEngine(ctx, a.engine, c)
 			}
-			return d.result, d.err
-		case <-look.C:
-			if a.holds(ctx, c) {
+			return done.result, done.err
+		case <-poll.C:
+			if a.engineHolds(ctx, c) {
 				return orders.Done, nil
 			}
 		}
@@ -82,8 +82,8 @@
 }
 
 // holds reports whether the own engine holds the step of the call.
-func (a *Agent) holds(ctx context.Context, c orders.Call) bool {
-	r, err := a.look(ctx, 0)
+func (a *Agent) engineHolds(ctx context.Context, c orders.Call) bool {
+	r, err := a.engineReport(ctx, 0)
 	h, ok := c.Order.(orders.Hold)
 	return err == nil && ok && r.State.Epoch == c.Epoch && r.State.Held != nil && *r.State.Held == h.Step
 }
--- a/node/rank/planning.go
+++ b/node/rank/planning.go
@@ -14,77 +14,77 @@
 // plan to mapswitch/orders.
 
 // counted takes that all ranks have reported what they chose.
-func (d *groupDuty) counted() {
-	d.estimate.Add(d.counts.SumAndReset())
-	d.due = true
+func (g *groupCoordinator) handleCounts() {
+	g.estimate.Add(g.counts.SumAndReset())
+	g.planDue = true
 }
 
 // planIfDue plans with what was counted, once no change is under way.
-func (d *groupDuty) planIfDue(now time.Time) {
-	if d.due && d.leading && d.coord.CanPropose() && !d.isStopping() {
-		d.due = false
-		d.plan(now, d.estimate.Load())
+func (g *groupCoordinator) planIfDue(now time.Time) {
+	if g.planDue && g.leading && g.coord.CanPropose() && !g.isStopping() {
+		g.planDue = false
+		g.plan(now, g.estimate.Load())
 	}
 }
 
 // paceChange is by how much a pace must differ from the one before to be logged.
-const paceChange = 0.1
+const slowdownLogThreshold = 0.1
 
 // tookPace notes how slow a rank is.
-func (d *groupDuty) tookPace(rank int, pace float64) {
-	if rank >= len(d.paces) {
+func (g *groupCoordinator) recordSlowdown(rank int, pace float64) {
+	if rank >= len(g.slowdowns) {
 		return // it is not one of the group
 	}
-	if before := d.paces[rank]; math.Abs(pace-before) > paceChange && (pace > 1+paceChange || before > 1+paceChange) {
-		d.log("pace", "of", rank, "pace", pace, "before", before)
+	if before := g.slowdowns[rank]; math.Abs(pace-before) > slowdownLogThreshold && (pace > 1+slowdownLogThreshold || before > 1+slowdownLogThreshold) {
+		g.log("pace", "of", rank, "pace", pace, "before", before)
 	}
-	d.paces[rank] = pace
+	g.slowdowns[rank] = pace
 }
 
 // tookHolds puts the map in use together from what all ranks hold of the same
 // version.
-func (d *groupDuty) tookHolds(rank int, report *mesh.RankReport) {
-	if v := report.State.Map; v != d.holdsOf {
-		d.holds, d.holdsOf = map[int][][]int{}, v
+func (g *groupCoordinator) recordExperts(rank int, report *mesh.RankReport) {
+	if v := report.State.Map; v != g.expertsVersion {
+		g.experts, g.expertsVersion = map[int][][]int{}, v
 	}
-	d.holds[rank] = report.Holds
-	if _, known := d.coord.Current(); known || len(d.holds) < d.size {
+	g.experts[rank] = report.Holds
+	if _, known := g.coord.Current(); known || len(g.experts) < g.size {
 		return
 	}
-	p := make(orders.Placement, d.shape.Layers)
+	p := make(orders.Placement, g.shape.Layers)
 	for l := range p {
-		p[l] = make([][]int, d.size)
-		for r := range d.size {
-			if l >= len(d.holds[r]) {
+		p[l] = make([][]int, g.size)
+		for r := range g.size {
+			if l >= len(g.experts[r]) {
 				return // not of the shape that the configuration names
 			}
-			p[l][r] = d.holds[r][l]
+			p[l][r] = g.experts[r][l]
 		}
 	}
-	d.coord.SetCurrent(p)
+	g.coord.SetCurrent(p)
 }
 
 // plan proposes another map if that is worth it.
-func (d *groupDuty) plan(now time.Time, load rebalance.Load) {
-	current, known := d.coord.Current()
+func (g *groupCoordinator) plan(now time.Time, load rebalance.Load) {
+	current, known := g.coord.Current()
 	if !known {
 		return
 	}
-	s := d.agent.settings()
+	s := g.agent.settings()
 	p := rebalance.Planner{
-		Shape: d.shape, Slowdowns: d.paces, Horizon: s.Horizon.Std(), CopySlowdown: slowdown, MaxCopies: s.Copies(d.shape.CopyTime), MinSaving: s.LeastSaving,
-		Overhead: d.overhead,
+		Shape: g.shape, Slowdowns: g.slowdowns, Horizon: s.Horizon.Std(), CopySlowdown: copySlowdown, MaxCopies: s.Copies(g.shape.CopyTime), MinSaving: s.LeastSaving,
+		Overhead: g.overhead,
 	}
 	plan := p.Plan(rebalance.Map(current), load)
-	d.agent.common.Metrics.Set(telemetry.StepSkew, d.group, plan.SkewBefore)
+	g.agent.common.Metrics.Set(telemetry.StepSkew, g.group, plan.SkewBefore)
 	if !plan.Worthwhile() {
 		return
 	}
-	if !d.coord.Propose(now, orders.Placement(plan.Map), plan.CopyTime) {
+	if !g.coord.Propose(now, orders.Placement(plan.Map), plan.CopyTime) {
 		return
 	}
-	d.agent.common.Metrics.Count(telemetry.MovedExperts, d.group, plan.Copies)
+	g.agent.common.Metrics.Count(telemetry.MovedExperts, g.group, plan.Copies)
 	rows, _ := orders.Placement(plan.Map).Diff(current)
-	d.rows, d.copying = len(rows), plan.CopyTime
-	d.log("map proposed", "skew", plan.SkewBefore, "expected", plan.SkewAfter, "moves", plan.Copies, "copying", plan.CopyTime)
+	g.changedRows, g.copyTime = len(rows), plan.CopyTime
+	g.log("map proposed", "skew", plan.SkewBefore, "expected", plan.SkewAfter, "moves", plan.Copies, "copying", plan.CopyTime)
 }
--- a/node/rank/relaying.go
+++ b/node/rank/relaying.go
@@ -16,16 +16,16 @@
 // relayWithin bounds a read that a relay makes for the coordinator: less than the
 // coordinator waits for the relay, so that one silent rank does not cost the news of the
 // others.
-const relayWithin = readWithin * 3 / 5
+const relayReadTimeout = readTimeout * 3 / 5
 
 // gather reads ranks of the own group for its coordinator. A rank that does not answer in
 // time is left out.
-func (a *Agent) gather(ctx context.Context, q *mesh.GatherQuery) (*mesh.Gathered, error) {
+func (a *Agent) handleGather(ctx context.Context, q *mesh.GatherQuery) (*mesh.Gathered, error) {
 	members, ok := a.membersIn(q.Epoch)
 	if !ok {
 		return nil, fault.New(fault.BadRequest, "the group's members are not known in epoch %d", q.Epoch)
 	}
-	ctx, cancel := context.WithTimeout(ctx, relayWithin)
+	ctx, cancel := context.WithTimeout(ctx, relayReadTimeout)
 	defer cancel()
 	reports := make([]*mesh.RankReport, len(q.Ranks))
 	var reads sync.WaitGroup
@@ -34,18 +34,18 @@
 		if !known {
 			continue
 		}
-		reads.Go(func() { reports[i] = a.readFor(ctx, m, &q.Read) })
+		reads.Go(func() { reports[i] = a.readForCoordinator(ctx, m, &q.Read) })
 	}
 	reads.Wait()
-	return gathered(q.Ranks, reports), nil
+	return gatherReply(q.Ranks, reports), nil
 }
 
 // readFor reads one rank, the own or another's; nil if it did not answer.
-func (a *Agent) readFor(ctx context.Context, m mesh.Member, q *mesh.ReadQuery) *mesh.RankReport {
+func (a *Agent) readForCoordinator(ctx context.Context, m mesh.Member, q *mesh.ReadQuery) *mesh.RankReport {
 	var report *mesh.RankReport
 	var err error
 	if m.Agent == a.settings().Peers {
-		report, err = a.read(ctx, q)
+		report, err = a.handleRead(ctx, q)
 	} else {
 		report, err = mesh.Call[mesh.ReadQuery, mesh.RankReport](ctx, a.mesh, m.Agent, mesh.Read, q)
 	}
@@ -56,21 +56,21 @@
 	return report
 }
 
-func gathered(ranks []int, reports []*mesh.RankReport) *mesh.Gathered {
+func gatherReply(ranks []int, reports []*mesh.RankReport) *mesh.Gathered {
 	out := &mesh.Gathered{}
-	var picked []*mesh.Picked
+	var counts []*mesh.Picked
 	for i, r := range reports {
 		if r != nil {
 			out.Ranks = append(out.Ranks, mesh.WordOf(ranks[i], r))
-			picked = append(picked, r.Picked)
+			counts = append(counts, r.Picked)
 		}
 	}
-	out.Picked = mesh.Sum(picked)
+	out.Picked = mesh.Sum(counts)
 	return out
 }
 
 // deal hands an order to ranks of the own group, or to engines elsewhere.
-func (a *Agent) deal(ctx context.Context, c *mesh.DealCall) (*mesh.DealReply, error) {
+func (a *Agent) handleDeal(ctx context.Context, c *mesh.DealCall) (*mesh.DealReply, error) {
 	if len(c.Engines) > 0 {
 		return ForwardToEngines(ctx, a.common, a.http, c)
 	}
@@ -81,19 +81,19 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Left)
 	defer cancel()
 	reply := &mesh.DealReply{Dealt: make([]mesh.Dealt, len(c.Ranks))}
-	var gives sync.WaitGroup
+	var sends sync.WaitGroup
 	for i, r := range c.Ranks {
 		reply.Dealt[i].Result = orders.Lost
 		if m, known := members[r]; known {
-			gives.Go(func() { reply.Dealt[i] = a.dealOne(ctx, m, c.Order) })
+			sends.Go(func() { reply.Dealt[i] = a.relayOrder(ctx, m, c.Order) })
 		}
 	}
-	gives.Wait()
+	sends.Wait()
 	return reply, nil
 }
 
 // dealOne hands the order to one rank, the own or another's.
-func (a *Agent) dealOne(ctx context.Context, m mesh.Member, o mesh.OrderCall) mesh.Dealt {
+func (a *Agent) relayOrder(ctx context.Context, m mesh.Member, o mesh.OrderCall) mesh.Dealt {
 	var reply *mesh.OrderReply
 	var err error
 	if o.Prepare != nil {
@@ -101,7 +101,7 @@
 		o.Prepare = &prepare
 	}
 	if m.Agent == a.settings().Peers {
-		reply, err = a.command(ctx, &o)
+		reply, err = a.handleCommand(ctx, &o)
 	} else {
 		reply, err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, m.Agent, mesh.Command, &o)
 	}
@@ -112,7 +112,7 @@
 }
 
 // dealMost bounds how long orders are handed out for another group, whatever its coordinator asks.
-const dealMost = time.Second
+const maxForwardTime = time.Second
 
 // ForwardToEngines gives one order to all engines that the call names, for the coordinator of a
 // group that is not the own.
@@ -121,14 +121,14 @@
 	if o == nil {
 		return nil, fault.New(fault.BadRequest, "a call without an order")
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(call.Left, dealMost))
+	ctx, cancel := context.WithTimeout(ctx, min(call.Left, maxForwardTime))
 	defer cancel()
 	reply := &mesh.DealReply{Dealt: make([]mesh.Dealt, len(call.Engines))}
-	var gives sync.WaitGroup
+	var sends sync.WaitGroup
 	for i, address := range call.Engines {
-		gives.Go(func() {
-			given := orders.Call{Epoch: call.Order.Epoch, Fence: call.Order.Fence, Order: o}
-			res, err := giveOrder(ctx, c, platform.NewEngine(address, client), given)
+		sends.Go(func() {
+			toSend := orders.Call{Epoch: call.Order.Epoch, Fence: call.Order.Fence, Order: o}
+			res, err := issueOrder(ctx, c, platform.NewEngine(address, client), toSend)
 			if err != nil {
 				c.Log.Debug("order not answered", "engine", address, "order", orders.Name(o), "err", err)
 				res = orders.Lost
@@ -136,6 +136,6 @@
 			reply.Dealt[i].Result = res
 		})
 	}
-	gives.Wait()
+	sends.Wait()
 	return reply, nil
 }
