--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -17,45 +17,46 @@
 	"clovertrail.dev/telemetry"
 )
 
-// The times of an agent.
+// Intervals and timeouts of an agent.
 const (
-	// readEvery is the time between two looks at the own engine: a few steps.
+	// readInterval is the time between two reads of the own engine: a few steps.
 	readInterval = 100 * time.Millisecond
-	// engineWithin bounds a call to the own engine, which answers in milliseconds.
+	// engineTimeout bounds a call to the own engine, which responds within milliseconds.
 	engineTimeout = 300 * time.Millisecond
 )
 
-// Agent is the process beside a model engine. It reads the engine, gives it the
-// orders that other ranks' agents hand it, and may coordinate its group.
+// Agent runs beside a model engine. It reads the engine, passes on to it the orders that it
+// receives from other ranks' agents, and may coordinate its group.
 //
-// Lock order: mu is the only lock, and no I/O is done under it.
+// Lock order: mu is the only lock, and no I/O is done while it is held.
 type Agent struct {
 	common   telemetry.Common
 	network  process.Network
-	settings func() process.AgentSettings // as they are now
+	settings func() process.AgentSettings // returns the current settings
 	engine   *platform.Engine
 	http     *http.Client
 	mesh     *mesh.Client
 
 	mu           sync.Mutex
-	report       platform.Report
-	readAt       time.Time
-	members      map[int]mesh.Member // of the own group, by rank
-	epoch        orders.Epoch        // of the members
+	report       platform.Report     // last report of the engine
+	readAt       time.Time           // when report was read
+	members      map[int]mesh.Member // own group, by rank
+	epoch        orders.Epoch        // the epoch for which members were received
 	shape        *rebalance.Shape
-	forwarders   *distribution.Forwarders // processes that hand orders on
-	election     *orders.Election         // whether this rank is to coordinate
+	forwarders   *distribution.Forwarders
+	election     *orders.Election // decides whether this rank coordinates
 	countDeltas  *distribution.CountDeltas
 	receivedMaps *distribution.ReceivedMaps
-	engineLost   bool // the engine does not answer
+	engineLost   bool // the last read of the engine failed
 }
 
-// NewAgent returns the process. now gives its settings as they are now.
-func NewAgent(c telemetry.Common, n process.Network, now func() process.AgentSettings) *Agent {
-	s := now()
+// NewAgent returns an agent that is not running yet. The function settings returns the
+// current settings.
+func NewAgent(c telemetry.Common, n process.Network, settings func() process.AgentSettings) *Agent {
+	s := settings()
 	client := process.HTTPClient(n)
 	return &Agent{
-		common: c, network: n, settings: now, http: client,
+		common: c, network: n, settings: settings, http: client,
 		engine:   platform.NewEngine(s.Engine, client),
 		mesh:     mesh.NewClient(n.Dial),
 		election: orders.NewElection(clock.Now()), forwarders: distribution.NewForwarders(),
@@ -63,7 +64,7 @@
 	}
 }
 
-// Run serves until leave is closed.
+// Run serves until stop is closed.
 func (a *Agent) Run(stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -91,8 +92,8 @@
 	return a.stop(g, done, cancel)
 }
 
-// leave lets an attempt to change maps come to its end, so that the group is not
-// left held.
+// stop waits until a map change under way has ended, so that the group is not left held.
+// The wait is bounded by the stop time of the settings.
 func (a *Agent) stop(g *groupCoordinator, done <-chan struct{}, cancel context.CancelFunc) error {
 	startedAt := clock.Now()
 	a.common.Log.Info("leaving")
@@ -100,7 +101,7 @@
 	select {
 	case <-done:
 	case <-time.After(a.settings().Bounds.Stop.Std() - process.StopMargin):
-		a.common.Log.Warn("stopped during a change of maps")
+		a.common.Log.Warn("map change did not end within the stop time; stopping during it")
 	}
 	cancel()
 	a.common.Log.Info("stopped", "after", clock.Since(startedAt))
@@ -117,7 +118,8 @@
 	return m
 }
 
-// watch answers an entry box.
+// handleWatch serves an entry box: it records the members of the group, if the query
+// contains them, and returns the state of the engine.
 func (a *Agent) handleWatch(ctx context.Context, q *mesh.WatchQuery) (*mesh.RankReport, error) {
 	if len(q.Members) > 0 {
 		a.updateMembers(q)
@@ -131,14 +133,15 @@
 	return out, nil
 }
 
-// knows is the epoch for which the group's members are known.
+// memberEpoch returns the epoch for which the members of the group were received.
 func (a *Agent) memberEpoch() orders.Epoch {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.epoch
 }
 
-// learn takes who the other ranks are.
+// updateMembers stores the members and the shape of the group, unless they belong to an
+// earlier epoch.
 func (a *Agent) updateMembers(q *mesh.WatchQuery) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -157,12 +160,13 @@
 	}
 }
 
-// look gives the state of the engine, read at the most so long ago.
-func (a *Agent) engineReport(ctx context.Context, age time.Duration) (platform.Report, error) {
+// engineReport returns the last report of the engine if it is younger than maxAge, and reads
+// the engine otherwise.
+func (a *Agent) engineReport(ctx context.Context, maxAge time.Duration) (platform.Report, error) {
 	a.mu.Lock()
 	r, at := a.report, a.readAt
 	a.mu.Unlock()
-	if clock.Since(at) < age {
+	if clock.Since(at) < maxAge {
 		return r, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
@@ -186,16 +190,16 @@
 	return r, nil
 }
 
-// noteEngine logs when the engine is lost or answers again.
+// recordEngineState logs when the engine stops responding and when it responds again.
 func (a *Agent) recordEngineState(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if lost := err != nil; lost != a.engineLost {
 		a.engineLost = lost
 		if lost {
-			a.common.Log.Warn("engine lost", "engine", a.settings().Engine, "err", err)
+			a.common.Log.Warn("engine did not respond; reading it again", "engine", a.settings().Engine, "err", err)
 		} else {
-			a.common.Log.Info("engine answers again", "engine", a.settings().Engine)
+			a.common.Log.Info("engine responds again", "engine", a.settings().Engine)
 		}
 	}
 }
@@ -207,7 +211,7 @@
 	}
 }
 
-// read answers the coordinator of the group.
+// handleRead serves the coordinator of the group.
 func (a *Agent) handleRead(ctx context.Context, q *mesh.ReadQuery) (*mesh.RankReport, error) {
 	a.mu.Lock()
 	a.election.ReadBy(clock.Now(), q.From)
@@ -215,7 +219,7 @@
 	return a.readOwn(ctx, q)
 }
 
-// readOwn reads the own engine as a coordinator wants it.
+// readOwn reads the own engine, with the counts and the experts that the coordinator requests.
 func (a *Agent) readOwn(ctx context.Context, q *mesh.ReadQuery) (*mesh.RankReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
@@ -241,11 +245,12 @@
 	return out, nil
 }
 
-// engineAt is the engine of another rank, for when its agent does not answer.
+// engineAt returns a client of another rank's engine, for use while that rank's agent does
+// not respond.
 func (a *Agent) engineAt(m mesh.Member) *platform.Engine { return platform.NewEngine(m.Target, a.http) }
 
-// readFar reads another rank's engine itself, without its counts. What it reports is a
-// little old; the orders that follow are not given on its report alone.
+// readEngine reads another rank's engine directly, without its counts. The report of an engine
+// is slightly old, so no order is sent on the strength of that report alone.
 func (a *Agent) readEngine(ctx context.Context, m mesh.Member) (*mesh.RankReport, error) {
 	r, err := a.engineAt(m).Report(ctx)
 	if err != nil {
@@ -254,14 +259,14 @@
 	return rankReport(r), nil
 }
 
-// command gives an order to the engine, or to another that the call names.
+// handleCommand sends an order to the own engine, or to another engine if the call names one.
 func (a *Agent) handleCommand(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
 	if err := a.receivedMaps.Expand(c); err != nil {
 		return nil, err
 	}
 	o := c.Order()
 	if o == nil {
-		return nil, fault.New(fault.BadRequest, "a call without an order")
+		return nil, fault.New(fault.BadRequest, "command without an order")
 	}
 	if c.Engine != "" {
 		return ForwardOrder(ctx, a.common, a.http, c)
@@ -273,26 +278,26 @@
 	return &mesh.OrderReply{Result: res}, nil
 }
 
-// give gives an order to an engine.
 func (a *Agent) sendToEngine(ctx context.Context, e *platform.Engine, c orders.Call) (orders.Result, error) {
 	return issueOrder(ctx, a.common, e, c)
 }
 
-// leads reports whether this rank is to coordinate.
+// leads reports whether this rank is to coordinate the group now.
 func (a *Agent) leads(now time.Time, rank int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.election.Leads(now, rank)
 }
 
-// membersIn are the ranks of the group in the epoch; false if they are not known.
+// membersIn returns the ranks of the group in the epoch; false if they were not received.
 func (a *Agent) membersIn(e orders.Epoch) (map[int]mesh.Member, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.members, a.epoch == e && len(a.members) > 0
 }
 
-// group gives what is known of the group in the epoch; false if that is not enough.
+// groupIn returns the members and the shape of the group in the epoch; false unless the shape
+// and all members were received.
 func (a *Agent) groupIn(e orders.Epoch, size int) (map[int]mesh.Member, rebalance.Shape, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/node/rank/doc.go
+++ b/node/rank/doc.go
@@ -1,13 +1,14 @@
-// Package rank is the process beside a model engine: it reads the engine, hands it orders,
-// and coordinates the group of its rank while no lower rank does. What a coordinator
-// decides is in mapswitch/orders and experts/rebalance; this package moves their commands.
+// Package rank implements the agent that runs beside a model engine: it reads the engine,
+// sends it orders, and coordinates the group of its rank while no lower rank does. The
+// decisions of a coordinator are made in mapswitch/orders and experts/rebalance; this package
+// carries out their commands.
 //
-// Agent answers others (agent.go; relaying.go where it stands between a coordinator and other
-// ranks). groupDuty is the loop of a coordinator: it reads its ranks (reading.go), plans
-// (planning.go) and gives orders (giving.go).
+// Agent serves requests of other processes (agent.go, and relaying.go as a relay between a
+// coordinator and other ranks). groupCoordinator is the event loop of a coordinator: it reads
+// its ranks (reading.go), plans (planning.go) and sends orders (dispatching.go).
 //
 // # Usage
 //
 //	a := rank.NewAgent(common, network, func() process.AgentSettings { return s })
-//	err := a.Run(leave) // until leave is closed
+//	err := a.Run(stop) // serves until stop is closed
 package rank
--- a/node/rank/groupcoordinator.go
+++ b/node/rank/groupcoordinator.go
@@ -14,93 +14,97 @@
 	"clovertrail.dev/platform"
 )
 
-// The times of coordinating a group.
+// Intervals, timeouts and sizes used to coordinate a group.
 const (
-	// dutyTick is the time between two looks at what is due: less than a step.
+	// coordinatorTick is the time between two checks for due work: less than a step.
 	coordinatorTick = 20 * time.Millisecond
-	// idleTick is the same for a rank that does not coordinate: several looks within the
-	// silence after which it would.
+	// idleTick is the same for a rank that does not coordinate: several checks within the
+	// time without a read after which it takes over.
 	idleTick = 100 * time.Millisecond
-	// readWithin bounds a read of another rank.
+	// readTimeout bounds a read of another rank.
 	readTimeout = 250 * time.Millisecond
-	// orderWithin bounds an order to another rank; the coordinator gives it again.
+	// orderTimeout bounds an order to another rank; the coordinator resends the order.
 	orderTimeout = 150 * time.Millisecond
-	// muteFor is how long an agent that did not answer is passed by: its engine is
-	// asked itself, which the platform charges for. Together with a read that waits in
-	// vain it is shorter than the silence after which the next rank takes over: an agent that is only slow must not take
-	// the coordinator for lost.
+	// unresponsivePeriod is how long an agent that did not respond is bypassed: its engine
+	// is read directly, which the platform charges for. Together with readTimeout it is
+	// shorter than the time without a read after which the next rank takes over: an agent
+	// that is only slow must not consider the coordinator lost.
 	unresponsivePeriod = 200 * time.Millisecond
-	// tellingAtOnce is how long whole maps that are told at the same time may fill this
-	// box's link: what is sent behind them waits no longer.
+	// parallelMapSendTime bounds how long whole maps that are sent in parallel fill this
+	// box's link, and so the delay of messages queued behind them.
 	parallelMapSendTime = 25 * time.Millisecond
-	// afterwards is how long after an attempt its ranks are read more often: until the
-	// armed step has begun, a few steps later.
+	// frequentReadPeriod is how long after an attempt its ranks are read more often: until
+	// the armed step has begun, a few steps later.
 	frequentReadPeriod = 250 * time.Millisecond
-	// linkShare is the part of the box's link that reading and telling maps may take;
-	// the rest is the engine's and the requests'.
+	// linkShare is the share of the box's link that reads and the distribution of maps may
+	// use; the rest is left to the engine and to requests.
 	linkShare = 0.4
-	// placeBytes and pickBytes are what one place of a map and one count of chosen
-	// experts take on the wire, and reportBytes what the rest of a report does.
+	// Sizes on the wire: of one slot of a map, of the count of one expert, and of a report
+	// without its counts.
 	bytesPerSlot, bytesPerCount, reportBytes = 2, 1, 300
-	// rowHead is how many places the head of a row takes as much as.
+	// rowHeaderSlots is the size of the header of a row on the wire, in slots.
 	rowHeaderSlots = 3
-	// slowdown is how much longer steps are while ranks copy, as the platform says.
+	// copySlowdown is the increase of the step time while ranks copy, as a share; the
+	// platform specifies it.
 	copySlowdown = 0.15
 )
 
-// groupDuty coordinates the group of the agent's rank while no lower rank does. One
-// goroutine owns all of it but what is under mu.
+// groupCoordinator coordinates the group of the agent's rank while no lower rank does. All
+// fields that mu does not guard belong to the goroutine of run.
 type groupCoordinator struct {
 	agent   *Agent
-	numbers *orders.NumberGenerator // of this process
+	numbers *orders.NumberGenerator // shared by all coordinators of the process
 	results chan event
 
-	rank            int
-	size            int
-	group           string
-	coord           *orders.Coordinator
-	members         map[int]mesh.Member
-	shape           rebalance.Shape
-	counts          *distribution.Counter
-	estimate        *rebalance.Estimate
-	slowdowns       []float64       // by rank, as last reported
-	experts         map[int][][]int // of the map in use, by rank
+	rank      int
+	size      int
+	group     string
+	coord     *orders.Coordinator
+	members   map[int]mesh.Member
+	shape     rebalance.Shape
+	counts    *distribution.Counter
+	estimate  *rebalance.Estimate
+	slowdowns []float64 // by rank, as last reported
+	// experts holds, by rank, the experts of the map in use as far as they were read, all
+	// of version expertsVersion.
+	experts         map[int][][]int
 	expertsVersion  orders.Version
-	lastFullRead    time.Time            // all ranks
-	lastPartialRead time.Time            // those that an attempt waits for
-	lastCountsRead  time.Time            // when all ranks were last asked what was chosen
-	relays          *distribution.Relays // nil where every rank is spoken to by itself
-	readTime        time.Duration        // that the slowest reads take
-	overhead        time.Duration        // that changes take beside copies
-	copyTime        time.Duration        // that the proposed map takes to copy
+	lastFullRead    time.Time            // start of the last read of all ranks
+	lastPartialRead time.Time            // start of the last read of the ranks that an attempt needs
+	lastCountsRead  time.Time            // start of the last read that requested counts
+	relays          *distribution.Relays // nil if each rank is called directly
+	readTime        time.Duration        // of the slowest recent reads
+	overhead        time.Duration        // of a map change, in addition to its copies
+	copyTime        time.Duration        // expected for the proposed map
 	sentMaps        *distribution.SentMaps
-	changedRows     int           // that the proposed map differs in from the one in use
-	mapSends        chan struct{} // one for each whole map that may be on its way
-	lastAttemptEnd  time.Time     // the last attempt
-	planDue         bool          // the estimate moved since the last plan
+	changedRows     int           // rows of the proposed map that differ from the map in use
+	mapSends        chan struct{} // semaphore of the whole maps sent in parallel
+	lastAttemptEnd  time.Time
+	planDue         bool // counts were added to the estimate since the last plan
 	readInFlight    map[int]bool
 	leading         bool
 	unresponsive    *unresponsiveAgents
-	readFailed      map[int]bool // ranks whose last read failed
+	readFailed      map[int]bool // by rank, for the last read
 
 	mu       sync.Mutex
 	stopping bool
 }
 
-// event is what the duty's goroutines bring back. The set is closed: readDone, gatherDone,
-// orderDone and dealDone.
+// event is the outcome of a call, sent to the goroutine of run. The set of types is closed:
+// readDone, gatherDone, orderDone and batchDone.
 type event interface{ event() }
 
+// readDone is the outcome of a read of one rank.
 type readDone struct {
 	rank       int
-	epoch      orders.Epoch // for which it was asked
-	withCounts bool         // it was asked what was chosen
+	epoch      orders.Epoch // at the start of the read
+	withCounts bool         // the read requested expert counts
 	startedAt  time.Time
 	report     *mesh.RankReport
 	err        error
 }
 
-// gatherDone is what a relay brought of a part.
+// gatherDone is the outcome of a read of several ranks through a relay.
 type gatherDone struct {
 	assignment distribution.Assignment
 	epoch      orders.Epoch
@@ -110,14 +114,15 @@
 	err        error
 }
 
+// orderDone is the outcome of an order to one rank.
 type orderDone struct {
 	call     orders.Call
-	viaAgent bool // it went through the agent of its rank
+	viaAgent bool // sent through the agent of the rank
 	result   orders.Result
 	err      error
 }
 
-// dealDone is what became of orders that were given many at once.
+// batchDone is the outcome of orders that were sent in one call.
 type batchDone struct{ orders []orderDone }
 
 func (readDone) event()   {}
@@ -129,7 +134,7 @@
 	return &groupCoordinator{agent: a, numbers: orders.NewNumberGenerator(uint16(rand.Uint32())), results: make(chan event, 64), readInFlight: map[int]bool{}, unresponsive: newUnresponsiveAgents(), readFailed: map[int]bool{}}
 }
 
-// stop makes run return once no attempt is under way.
+// beginStop makes run return as soon as no attempt holds the group.
 func (g *groupCoordinator) beginStop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -142,7 +147,8 @@
 	return g.stopping
 }
 
-// run does the duty until ctx ends, or until it is to stop and nothing is held.
+// run handles events and coordinates the group until ctx ends, or until beginStop was called
+// and no attempt holds the group.
 func (g *groupCoordinator) run(ctx context.Context) {
 	tick := time.NewTicker(idleTick)
 	defer tick.Stop()
@@ -169,7 +175,7 @@
 	}
 }
 
-// tickEvery is the time between two looks at what is due.
+// tickInterval returns the time between two checks for due work.
 func (g *groupCoordinator) tickInterval() time.Duration {
 	if g.coord == nil || !g.leading && g.coord.Idle() {
 		return idleTick
@@ -193,7 +199,7 @@
 	}
 }
 
-// tick looks at the own engine, decides whether to coordinate, and reads the ranks.
+// tick reads the own engine, decides whether to coordinate, and starts the reads that are due.
 func (g *groupCoordinator) tick(ctx context.Context) {
 	now := clock.Now()
 	if now.Sub(g.lastFullRead) < readInterval && !g.awaitsReads() {
@@ -218,13 +224,14 @@
 	}
 }
 
-// busy reports that an attempt, or what follows one, waits for something that only
-// reads show.
+// awaitsReads reports whether an attempt is under way or has ended within frequentReadPeriod:
+// only reads of the ranks show its progress.
 func (g *groupCoordinator) awaitsReads() bool {
 	return g.coord != nil && (!g.coord.Idle() || clock.Since(g.lastAttemptEnd) < frequentReadPeriod)
 }
 
-// follow starts to coordinate, or stops, as the group and the other ranks want it.
+// updateRole starts or stops coordinating, depending on the state of the group and on whether
+// a lower rank coordinates. A coordinator that holds the group continues until the release.
 func (g *groupCoordinator) updateRole(now time.Time, own platform.Report) {
 	leading := g.agent.leads(now, own.Rank.Number) && own.State.Open
 	members, shape, known := g.agent.groupIn(own.State.Epoch, own.Rank.Size)
@@ -244,7 +251,7 @@
 	g.leading = leading || g.coord != nil && g.coord.Holding()
 }
 
-// parts is how many relays there are.
+// relayPartitions returns the number of partitions that relays read; 0 without relays.
 func (g *groupCoordinator) relayPartitions() int {
 	if g.relays == nil {
 		return 0
@@ -252,6 +259,7 @@
 	return g.relays.Partitions()
 }
 
+// startCoordinating resets the state for the group in its present epoch.
 func (g *groupCoordinator) startCoordinating(own platform.Report, members map[int]mesh.Member, shape rebalance.Shape) {
 	g.rank, g.size, g.group = own.Rank.Number, own.Rank.Size, string(own.Rank.Group)
 	shape.Ranks = g.size
@@ -273,6 +281,7 @@
 	g.slowdowns = make([]float64, g.size)
 }
 
+// log logs the message with the group and the own rank.
 func (g *groupCoordinator) log(msg string, attrs ...any) {
 	g.agent.common.Log.Info(msg, append([]any{"group", g.group, "rank", g.rank}, attrs...)...)
 }
--- a/node/rank/orders.go
+++ b/node/rank/orders.go
@@ -13,7 +13,7 @@
 	"clovertrail.dev/telemetry"
 )
 
-// giveOrder gives an order to an engine, counts it and times it.
+// issueOrder sends an order to an engine, and records its duration by order and result.
 func issueOrder(ctx context.Context, c telemetry.Common, e *platform.Engine, call orders.Call) (orders.Result, error) {
 	startedAt := clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
@@ -23,12 +23,12 @@
 	return res, err
 }
 
-// ForwardOrder gives an order to the engine that the call names, for another group's
+// ForwardOrder sends an order to the engine that the call names, on behalf of another group's
 // coordinator.
 func ForwardOrder(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.OrderCall) (*mesh.OrderReply, error) {
 	o := call.Order()
 	if o == nil || call.Engine == "" {
-		return nil, fault.New(fault.BadRequest, "a call without an order or an engine")
+		return nil, fault.New(fault.BadRequest, "command to forward has no order or no engine")
 	}
 	res, err := issueOrder(ctx, c, platform.NewEngine(call.Engine, client), orders.Call{Epoch: call.Epoch, Fence: call.Fence, Order: o})
 	if err != nil {
@@ -37,10 +37,10 @@
 	return &mesh.OrderReply{Result: res}, nil
 }
 
-// through gives an order to a rank's engine by way of a helper. A box that stops dead in
-// the moment in which it gives an order under a hold leaves in doubt what its own engine
-// was told, and until it is back the group is held; a box without a rank of the group
-// leaves no doubt, since every engine can still be asked.
+// sendViaForwarder sends an order to a rank's engine through a forwarder. If a box fails at
+// the moment it sends an order under a hold, the others cannot tell which orders the engine on
+// that box received, and the group stays held until the box is back. A failed box without a
+// rank of the group leaves no such doubt, since every engine can still be read.
 func (a *Agent) sendViaForwarder(ctx context.Context, forwarder string, m mesh.Member, c orders.Call) (orders.Result, error) {
 	call := mesh.CallOf(c)
 	call.Engine = m.Target
@@ -52,12 +52,12 @@
 	return reply.Result, nil
 }
 
-// holdLook is the time between two looks whether the own engine holds.
+// holdPollInterval is the time between two checks whether the own engine holds.
 const holdPollInterval = 8 * time.Millisecond
 
-// holdThrough has the own engine hold a step by way of a helper. The hold is seen at the
-// own engine even if the helper ends before it answers. If the helper cannot be reached,
-// this agent gives the order itself.
+// holdViaForwarder sends a Hold to the own engine through a forwarder. It polls the own engine
+// meanwhile, which shows the hold even if the forwarder ends before it responds. If the
+// forwarder cannot be reached, the agent sends the order itself.
 func (a *Agent) holdViaForwarder(ctx context.Context, forwarder string, own mesh.Member, c orders.Call) (orders.Result, error) {
 	response := make(chan orderDone, 1)
 	go func() {
@@ -81,7 +81,7 @@
 	}
 }
 
-// holds reports whether the own engine holds the step of the call.
+// engineHolds reports whether the own engine holds the step of the call.
 func (a *Agent) engineHolds(ctx context.Context, c orders.Call) bool {
 	r, err := a.engineReport(ctx, 0)
 	h, ok := c.Order.(orders.Hold)
--- a/node/rank/planning.go
+++ b/node/rank/planning.go
@@ -10,16 +10,17 @@
 	"clovertrail.dev/telemetry"
 )
 
-// How a coordinator plans: what it learnt of its ranks goes to experts/rebalance, and the
-// plan to mapswitch/orders.
+// This file contains the planning of a coordinator: it passes the counts and the slowdowns
+// of its ranks to experts/rebalance, and the resulting plan to mapswitch/orders.
 
-// counted takes that all ranks have reported what they chose.
+// handleCounts adds the summed counts to the estimate once all ranks have reported theirs.
 func (g *groupCoordinator) handleCounts() {
 	g.estimate.Add(g.counts.SumAndReset())
 	g.planDue = true
 }
 
-// planIfDue plans with what was counted, once no change is under way.
+// planIfDue plans with the current estimate if counts were added to it and no map change is
+// under way.
 func (g *groupCoordinator) planIfDue(now time.Time) {
 	if g.planDue && g.leading && g.coord.CanPropose() && !g.isStopping() {
 		g.planDue = false
@@ -27,22 +28,23 @@
 	}
 }
 
-// paceChange is by how much a pace must differ from the one before to be logged.
+// slowdownLogThreshold is the least change of a rank's slowdown that is logged, and the least
+// excess over 1 of either value.
 const slowdownLogThreshold = 0.1
 
-// tookPace notes how slow a rank is.
-func (g *groupCoordinator) recordSlowdown(rank int, pace float64) {
+// recordSlowdown stores how many times longer than usual the steps of a rank take.
+func (g *groupCoordinator) recordSlowdown(rank int, slowdown float64) {
 	if rank >= len(g.slowdowns) {
-		return // it is not one of the group
+		return // not a rank of this group
 	}
-	if before := g.slowdowns[rank]; math.Abs(pace-before) > slowdownLogThreshold && (pace > 1+slowdownLogThreshold || before > 1+slowdownLogThreshold) {
-		g.log("pace", "of", rank, "pace", pace, "before", before)
+	if before := g.slowdowns[rank]; math.Abs(slowdown-before) > slowdownLogThreshold && (slowdown > 1+slowdownLogThreshold || before > 1+slowdownLogThreshold) {
+		g.log("pace", "of", rank, "pace", slowdown, "before", before)
 	}
-	g.slowdowns[rank] = pace
+	g.slowdowns[rank] = slowdown
 }
 
-// tookHolds puts the map in use together from what all ranks hold of the same
-// version.
+// recordExperts stores the experts that a rank holds. Once the experts of all ranks are
+// present in one version, they form the map in use.
 func (g *groupCoordinator) recordExperts(rank int, report *mesh.RankReport) {
 	if v := report.State.Map; v != g.expertsVersion {
 		g.experts, g.expertsVersion = map[int][][]int{}, v
@@ -56,7 +58,7 @@
 		p[l] = make([][]int, g.size)
 		for r := range g.size {
 			if l >= len(g.experts[r]) {
-				return // not of the shape that the configuration names
+				return // the rank has fewer layers than the shape in the configuration
 			}
 			p[l][r] = g.experts[r][l]
 		}
@@ -64,7 +66,7 @@
 	g.coord.SetCurrent(p)
 }
 
-// plan proposes another map if that is worth it.
+// plan proposes another map if its saving is worth the map change.
 func (g *groupCoordinator) plan(now time.Time, load rebalance.Load) {
 	current, known := g.coord.Current()
 	if !known {
--- a/node/rank/unresponsive.go
+++ b/node/rank/unresponsive.go
@@ -7,37 +7,38 @@
 	"clovertrail.dev/core/clock"
 )
 
-// muteRanks are the ranks whose agents lately did not answer.
+// unresponsiveAgents holds the ranks whose agents did not respond to a recent read.
 //
 // Lock order: mu is the only lock.
 type unresponsiveAgents struct {
 	mu    sync.Mutex
-	until map[int]time.Time
+	until map[int]time.Time // by rank; the end of unresponsivePeriod
 }
 
 func newUnresponsiveAgents() *unresponsiveAgents {
 	return &unresponsiveAgents{until: map[int]time.Time{}}
 }
 
-// note takes how a read of the rank's agent ended.
-func (m *unresponsiveAgents) recordRead(rank int, err error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// recordRead records whether a read of the rank's agent failed.
+func (u *unresponsiveAgents) recordRead(rank int, err error) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	if err != nil {
-		m.until[rank] = clock.Now().Add(unresponsivePeriod)
+		u.until[rank] = clock.Now().Add(unresponsivePeriod)
 	} else {
-		delete(m.until, rank)
+		delete(u.until, rank)
 	}
 }
 
-func (m *unresponsiveAgents) contains(rank int) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return clock.Now().Before(m.until[rank])
+// contains reports whether the rank's agent is bypassed at present.
+func (u *unresponsiveAgents) contains(rank int) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return clock.Now().Before(u.until[rank])
 }
 
-func (m *unresponsiveAgents) reset() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	clear(m.until)
+func (u *unresponsiveAgents) reset() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	clear(u.until)
 }
