--- a/node/rank/dispatching.go
+++ b/node/rank/dispatching.go
@@ -12,14 +12,14 @@
 	"clovertrail.dev/telemetry"
 )
 
-// How a coordinator gives the orders of a change: each by itself, or in a large group
-// many at once by way of relays and helpers.
+// This file contains the sending of a coordinator's orders: one call per rank, or in a large
+// group one call for many ranks, through relays and forwarders.
 
-// helperBatch is how many engines one helper gives an order to: a few helpers at once
-// reach a group of a hundred ranks.
+// forwarderBatch is the number of engines that one forwarder sends an order to: a few
+// forwarders in parallel reach a group of a hundred ranks.
 const forwarderBatch = 10
 
-// next gives the orders that are due, and logs what ended.
+// issueOrders sends the orders that are due, and handles the outcomes of ended attempts.
 func (g *groupCoordinator) issueOrders(ctx context.Context) {
 	distributionTime := g.distributionTime()
 	g.coord.SetDistributionTime(distributionTime)
@@ -39,10 +39,10 @@
 	}
 }
 
-// ended takes the end of an attempt.
+// handleOutcome counts and logs the outcome of an attempt, and makes a read of all ranks due.
 func (g *groupCoordinator) handleOutcome(o orders.Outcome) {
 	g.lastAttemptEnd = clock.Now()
-	g.lastFullRead = time.Time{} // at once: before another change all ranks are to be read
+	g.lastFullRead = time.Time{} // another change needs a read of all ranks first
 	g.agent.common.Metrics.Count(telemetry.MapSwitches, string(o.Reason), 1)
 	took, held := clock.Since(o.StartedAt), time.Duration(0)
 	if !o.HeldFrom.IsZero() {
@@ -55,17 +55,19 @@
 		"copying", o.PrepareTime, "held", held, "after", took)
 }
 
-// overheadWeight is the weight of one more change in what changes take beside copies.
+// overheadWeight is the weight of the latest map change in the average of overhead.
 const overheadWeight = 0.3
 
-// noteOverhead learns what a change takes beside its copies.
+// updateOverhead adds a map change to the average of the time that map changes take in
+// addition to their copies.
 func (g *groupCoordinator) updateOverhead(took time.Duration) {
 	g.overhead += time.Duration(overheadWeight * float64(max(took-g.copyTime, 0)-g.overhead))
 }
 
-// giveMany gives what can be given many at once, and returns the rest.
+// sendBatches sends the orders that can be sent in one call for many ranks, and returns the
+// other calls.
 func (g *groupCoordinator) sendBatches(ctx context.Context, calls []orders.Call, distributionTime time.Duration) []orders.Call {
-	maps := map[orders.Version][]orders.Call{} // by the version from which they are told
+	maps := map[orders.Version][]orders.Call{} // by the version of the base that their maps are sent as changes of
 	var underHold, rest []orders.Call
 	for _, c := range calls {
 		_, prepares := c.Order.(orders.Prepare)
@@ -92,7 +94,8 @@
 	return rest
 }
 
-// alike parts calls into lists of one order for ranks that are each in the list once.
+// groupByOrder splits the calls into lists that have the same order and contain each rank at
+// most once.
 func groupByOrder(calls []orders.Call) [][]orders.Call {
 	type key struct {
 		order string
@@ -115,8 +118,8 @@
 	return lists
 }
 
-// giveThroughRelays sends ranks a map by way of relays; the calls of ranks without one
-// come back.
+// sendViaRelays sends a map to ranks through their relays, and returns the calls of ranks that
+// have no relay.
 func (g *groupCoordinator) sendViaRelays(ctx context.Context, calls []orders.Call, timeout time.Duration) []orders.Call {
 	byRank := map[int]orders.Call{}
 	var ranks []int
@@ -126,23 +129,23 @@
 	}
 	order := g.sentMaps.Shorten(calls[0].Rank, mesh.CallOf(calls[0]))
 	var rest []orders.Call
-	for _, p := range g.relays.Assign(ranks, g.usesRelay) {
+	for _, a := range g.relays.Assign(ranks, g.usesRelay) {
 		var assigned []orders.Call
-		for _, r := range p.Ranks {
+		for _, r := range a.Ranks {
 			assigned = append(assigned, byRank[r])
 		}
-		if p.Relay == distribution.NoRelay {
+		if a.Relay == distribution.NoRelay {
 			rest = append(rest, assigned...)
 			continue
 		}
-		call := &mesh.DealCall{Ranks: p.Ranks, Order: *order, Left: timeout}
-		go g.sendBatch(ctx, g.members[p.Relay].Agent, call, assigned, timeout)
+		call := &mesh.DealCall{Ranks: a.Ranks, Order: *order, Left: timeout}
+		go g.sendBatch(ctx, g.members[a.Relay].Agent, call, assigned, timeout)
 	}
 	return rest
 }
 
-// giveThroughHelpers gives an order under a hold to engines by way of processes outside
-// the group; the calls come back if none is known.
+// sendViaForwarders sends an order under a hold to engines through forwarders. It returns the
+// calls that are left when no forwarder is available.
 func (g *groupCoordinator) sendViaForwarders(ctx context.Context, calls []orders.Call) []orders.Call {
 	for len(calls) > 0 {
 		forwarder := g.agent.forwarders.Next(clock.Now())
@@ -160,15 +163,15 @@
 	return nil
 }
 
-// deal hands an order for many to the process at the address. Whole maps for relays do not
-// wait for each other, as those for single ranks do: there are ten of them, and a relay
-// answers only once all its ranks have, so that two at a time took a second.
+// sendBatch sends an order for several ranks to the process at the address. Whole maps for
+// relays are not limited by mapSends as those for single ranks are: there are ten
+// relays, and a relay responds only once all its ranks have, so that two at a time took a second.
 func (g *groupCoordinator) sendBatch(ctx context.Context, address string, call *mesh.DealCall, calls []orders.Call, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	reply, err := mesh.Call[mesh.DealCall, mesh.DealReply](ctx, g.agent.mesh, address, mesh.Deal, call)
 	if err == nil && len(reply.Dealt) != len(calls) {
-		err = fault.New(fault.BadRequest, "%d results for %d orders", len(reply.Dealt), len(calls))
+		err = fault.New(fault.BadRequest, "batch response has %d results for %d orders", len(reply.Dealt), len(calls))
 	}
 	if err != nil && len(call.Engines) > 0 {
 		g.agent.forwarders.ReportFailure(address)
@@ -176,7 +179,7 @@
 	g.results <- batchResults(calls, call, reply, err)
 }
 
-// dealt turns an answer for many into what became of each call.
+// batchResults converts the response to a batch into the outcome of each call.
 func batchResults(calls []orders.Call, call *mesh.DealCall, reply *mesh.DealReply, err error) batchDone {
 	var all batchDone
 	for i, c := range calls {
@@ -195,8 +198,8 @@
 	return all
 }
 
-// order gives an order through the agent of its rank, or to the engine itself where
-// that agent cannot be reached.
+// sendOrder sends an order to the agent of its rank, or directly to the engine while that agent
+// is unresponsive. An order under a hold goes through a forwarder if one is available.
 func (g *groupCoordinator) sendOrder(ctx context.Context, c orders.Call, call *mesh.OrderCall, m mesh.Member, timeout time.Duration, mapSends chan struct{}) {
 	if p, ok := c.Order.(orders.Prepare); ok && c.Rank != g.rank && call.Base == 0 && p.Map != nil {
 		mapSends <- struct{}{}
@@ -234,14 +237,15 @@
 	return ok
 }
 
-// underHold reports an order that is given while the group is held or that holds it:
-// all but those that copy, which change nothing yet.
+// underHold reports whether the order is sent while the group is held, or holds it. This is so
+// for all orders but Prepare, which only copies experts and does not change the map in use.
 func underHold(o orders.Order) bool {
 	_, copies := o.(orders.Prepare)
 	return !copies
 }
 
-// tookOrder takes what became of an order.
+// handleOrder passes the result of an order to the coordinator, unless the call belongs to an
+// earlier epoch.
 func (g *groupCoordinator) handleOrder(now time.Time, e orderDone) {
 	g.logOrder(e)
 	g.recordMapReply(e)
@@ -257,16 +261,16 @@
 	g.log("order not done", "rank", e.call.Rank, "order", orders.Name(e.call.Order), "result", e.result, "err", e.err)
 }
 
-// noteTold notes whether the agent of a rank has a map. Calls of an earlier
-// formation report nothing.
+// recordMapReply records whether the agent of a rank received a map. Calls of an earlier epoch
+// are ignored.
 func (g *groupCoordinator) recordMapReply(e orderDone) {
 	if p, ok := e.call.Order.(orders.Prepare); ok && e.viaAgent && g.coord != nil && e.call.Epoch == g.coord.Epoch() {
 		g.sentMaps.RecordReply(e.call.Rank, p, e.err)
 	}
 }
 
-// telling is how long it takes to send all ranks the map that is proposed: less where
-// changes of one that they have are enough, and where relays pass it on.
+// distributionTime returns the time to send the proposed map to all ranks. It is shorter if all
+// ranks have a base and need only the changed rows, and if relays forward the map.
 func (g *groupCoordinator) distributionTime() time.Duration {
 	each := g.wholeMapSendTime()
 	if g.sentMaps.CoversAll(g.size) {
@@ -279,7 +283,7 @@
 	return each * time.Duration(g.size)
 }
 
-// tellingOne is how long it takes to send one rank a whole map.
+// wholeMapSendTime returns the time to send a whole map to one rank.
 func (g *groupCoordinator) wholeMapSendTime() time.Duration {
 	return g.transferTime(g.shape.Layers*g.size*g.shape.Slots*bytesPerSlot, 1)
 }
--- a/node/rank/reading.go
+++ b/node/rank/reading.go
@@ -10,21 +10,21 @@
 	"clovertrail.dev/node/distribution"
 )
 
-// How a coordinator reads its ranks: each by itself, or in a large group by way of
-// relays (distribution.Relays).
+// This file contains the reads of a coordinator: one call per rank, or in a large group
+// through relays (distribution.Relays).
 
-// relayFrom is how long a reading of all ranks, each by itself, takes this box's share of
-// its link for it to use relays: several times the pause between two readings.
+// relayThreshold is the time that direct reads of all ranks take on this box's share of its
+// link above which relays are used: several times the pause between two rounds of reads.
 const relayThreshold = 3 * readInterval
 
-// relayedPicks is the least pause between two questions what was chosen by way of relays: a
-// change of such a group takes longer, and each answer of an engine is large.
+// minRelayedCountsInterval is the least time between two requests for expert counts through
+// relays: a map change of such a group takes longer, and each response of an engine is large.
 const minRelayedCountsInterval = 200 * time.Millisecond
 
-// errNotRelayed reports that a relay received nothing of the rank.
-var errNotRelayed = errors.New("its relay did not hear it")
+// errNotRelayed is the error of a rank from which its relay received no response.
+var errNotRelayed = errors.New("relay received no response from the rank")
 
-// readRanks reads the ranks that are wanted and not being read already.
+// readRanks starts reads of the wanted ranks that have no read in flight.
 func (g *groupCoordinator) readRanks(ctx context.Context, wanted func(rank int) bool) {
 	_, known := g.coord.Current()
 	withCounts := clock.Since(g.lastCountsRead) >= g.countsInterval()
@@ -49,27 +49,29 @@
 	}
 }
 
-// relayed reports whether the rank is reached by way of a relay. One that has not reported is
-// spoken to by itself until it is, so that it does not keep its relay waiting.
+// usesRelay reports whether the rank is called through a relay. A rank whose last read failed
+// is called directly until a read succeeds, so that it does not delay the response of its relay.
 func (g *groupCoordinator) usesRelay(r int) bool {
 	return g.relays != nil && r != g.rank && !g.readFailed[r] && !g.unresponsive.contains(r)
 }
 
-// readThrough reads the ranks by way of relays.
+// readViaRelays starts reads of the ranks through their relays, and direct reads of ranks that
+// have no relay.
 func (g *groupCoordinator) readViaRelays(ctx context.Context, ranks []int, q mesh.ReadQuery) {
 	e := g.coord.Epoch()
-	for _, p := range g.relays.Assign(ranks, g.usesRelay) {
-		if p.Relay == distribution.NoRelay {
-			for _, r := range p.Ranks {
+	for _, a := range g.relays.Assign(ranks, g.usesRelay) {
+		if a.Relay == distribution.NoRelay {
+			for _, r := range a.Ranks {
 				go g.readRank(ctx, r, g.members[r], &q, readDone{rank: r, epoch: e, withCounts: q.Picked, startedAt: clock.Now()})
 			}
 			continue
 		}
-		done := gatherDone{assignment: p, epoch: e, withCounts: q.Picked, startedAt: clock.Now()}
-		go g.readViaRelay(ctx, g.members[p.Relay], &mesh.GatherQuery{Epoch: e, Ranks: p.Ranks, Read: q}, done)
+		done := gatherDone{assignment: a, epoch: e, withCounts: q.Picked, startedAt: clock.Now()}
+		go g.readViaRelay(ctx, g.members[a.Relay], &mesh.GatherQuery{Epoch: e, Ranks: a.Ranks, Read: q}, done)
 	}
 }
 
+// readViaRelay reads the ranks of one assignment through its relay.
 func (g *groupCoordinator) readViaRelay(ctx context.Context, relay mesh.Member, q *mesh.GatherQuery, done gatherDone) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -78,6 +80,8 @@
 	g.results <- done
 }
 
+// readRank reads one rank: through its agent, or directly from the engine while the agent is
+// unresponsive.
 func (g *groupCoordinator) readRank(ctx context.Context, r int, m mesh.Member, q *mesh.ReadQuery, done readDone) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -93,7 +97,7 @@
 	g.results <- done
 }
 
-// tookRead takes the end of a read of one rank.
+// handleRead processes the outcome of a read of one rank.
 func (g *groupCoordinator) handleRead(now time.Time, e readDone) {
 	g.readInFlight[e.rank] = false
 	g.recordReadResult(e.rank, e.err)
@@ -110,14 +114,14 @@
 	g.planIfDue(now)
 }
 
-// tookGather takes what a relay brought. Ranks that it did not hear are read by
-// themselves next time.
+// handleGather processes the outcome of a read through a relay. Ranks that are missing from it
+// are read directly next time.
 func (g *groupCoordinator) handleGather(now time.Time, e gatherDone) {
 	for _, r := range e.assignment.Ranks {
 		g.readInFlight[r] = false
 	}
 	if e.err != nil {
-		g.log("relay did not answer", "relay", e.assignment.Relay, "ranks", len(e.assignment.Ranks), "after", now.Sub(e.startedAt), "err", e.err)
+		g.log("relay did not respond; its ranks are read again", "relay", e.assignment.Relay, "ranks", len(e.assignment.Ranks), "after", now.Sub(e.startedAt), "err", e.err)
 		return
 	}
 	if g.coord == nil || e.epoch != g.coord.Epoch() {
@@ -144,7 +148,7 @@
 	g.planIfDue(now)
 }
 
-// noteRead logs when a rank is lost or answers again.
+// recordReadResult logs when reads of a rank begin to fail and when they succeed again.
 func (g *groupCoordinator) recordReadResult(rank int, err error) {
 	if failed := err != nil; failed != g.readFailed[rank] {
 		g.readFailed[rank] = failed
@@ -152,16 +156,16 @@
 	}
 }
 
-// reachFade is what is left of the longest time of a read after each round of them.
+// readTimeDecay is the factor by which readTime shrinks with each round of reads.
 const readTimeDecay = 0.9
 
-// noteReach keeps how long the slowest reads take.
+// recordReadTime updates the time of the slowest recent reads.
 func (g *groupCoordinator) recordReadTime(took time.Duration) {
 	g.readTime = max(g.readTime, took)
 	g.coord.SetReadTime(g.readTime)
 }
 
-// observe takes what a rank reports about itself; false if that is of another formation.
+// observe records the report of a rank; false if the report belongs to another epoch.
 func (g *groupCoordinator) observe(now time.Time, rank int, r *mesh.RankReport) bool {
 	if !g.coord.Observe(now, rank, r.State) {
 		return false
@@ -173,8 +177,8 @@
 	return true
 }
 
-// pickPause is the time between two questions what was chosen, such that the answers
-// fit into their share of the link.
+// countsInterval returns the time between two requests for expert counts, such that the
+// responses fit into their share of the link.
 func (g *groupCoordinator) countsInterval() time.Duration {
 	least := readInterval
 	if g.relays != nil {
@@ -183,7 +187,8 @@
 	return max(least, g.transferTime(g.responsesPerRead()*g.countsResponseBytes(), linkShare)-coordinatorTick)
 }
 
-// answers is how many answers a reading of all ranks is, at this box.
+// responsesPerRead returns the number of responses that one box receives in a read of all ranks:
+// with relays, the larger of the numbers for the coordinator and for a relay.
 func (g *groupCoordinator) responsesPerRead() int {
 	if g.relays != nil {
 		return max(g.relays.Partitions(), g.size/max(g.relays.Partitions(), 1))
@@ -191,17 +196,17 @@
 	return g.size
 }
 
-// countBytes is what an answer with counts takes on the wire.
+// countsResponseBytes returns the size on the wire of a response with expert counts.
 func (g *groupCoordinator) countsResponseBytes() int {
 	return g.shape.Layers*g.shape.Experts*bytesPerCount + reportBytes
 }
 
-// useRelays reports whether a reading of all ranks, each by itself, would take too long.
+// needsRelays reports whether direct reads of all ranks would take longer than relayThreshold.
 func (g *groupCoordinator) needsRelays() bool {
 	return g.transferTime(g.size*g.countsResponseBytes(), linkShare) > relayThreshold
 }
 
-// sending is how long so many bytes take on a share of this box's link.
+// transferTime returns the time to transfer the bytes on the given share of this box's link.
 func (g *groupCoordinator) transferTime(bytes int, share float64) time.Duration {
 	const bitsPerByte, mega = 8, 1e6
 	return time.Duration(float64(bytes*bitsPerByte) / (g.agent.settings().Link * mega * share) * float64(time.Second))
--- a/node/rank/relaying.go
+++ b/node/rank/relaying.go
@@ -13,17 +13,17 @@
 	"clovertrail.dev/telemetry"
 )
 
-// relayWithin bounds a read that a relay makes for the coordinator: less than the
-// coordinator waits for the relay, so that one silent rank does not cost the news of the
-// others.
+// relayReadTimeout bounds a read that a relay makes for the coordinator. It is shorter than the
+// coordinator's timeout for the relay, so that one rank that does not respond does not cost the
+// reports of the others.
 const relayReadTimeout = readTimeout * 3 / 5
 
-// gather reads ranks of the own group for its coordinator. A rank that does not answer in
-// time is left out.
+// handleGather reads ranks of the own group for its coordinator. The response leaves out ranks
+// that do not respond in time.
 func (a *Agent) handleGather(ctx context.Context, q *mesh.GatherQuery) (*mesh.Gathered, error) {
 	members, ok := a.membersIn(q.Epoch)
 	if !ok {
-		return nil, fault.New(fault.BadRequest, "the group's members are not known in epoch %d", q.Epoch)
+		return nil, fault.New(fault.BadRequest, "members of the group in epoch %d were not received", q.Epoch)
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayReadTimeout)
 	defer cancel()
@@ -40,7 +40,7 @@
 	return gatherReply(q.Ranks, reports), nil
 }
 
-// readFor reads one rank, the own or another's; nil if it did not answer.
+// readForCoordinator reads the own or another rank; nil if the read failed.
 func (a *Agent) readForCoordinator(ctx context.Context, m mesh.Member, q *mesh.ReadQuery) *mesh.RankReport {
 	var report *mesh.RankReport
 	var err error
@@ -50,12 +50,13 @@
 		report, err = mesh.Call[mesh.ReadQuery, mesh.RankReport](ctx, a.mesh, m.Agent, mesh.Read, q)
 	}
 	if err != nil {
-		a.common.Log.Debug("rank not read for the coordinator", "rank", m.Rank, "from", q.From, "err", err)
+		a.common.Log.Debug("relay could not read rank; leaving it out of the response", "rank", m.Rank, "from", q.From, "err", err)
 		return nil
 	}
 	return report
 }
 
+// gatherReply combines the reports into one response. A nil report is left out.
 func gatherReply(ranks []int, reports []*mesh.RankReport) *mesh.Gathered {
 	out := &mesh.Gathered{}
 	var counts []*mesh.Picked
@@ -69,14 +70,14 @@
 	return out
 }
 
-// deal hands an order to ranks of the own group, or to engines elsewhere.
+// handleDeal sends an order to ranks of the own group, or to the engines that the call names.
 func (a *Agent) handleDeal(ctx context.Context, c *mesh.DealCall) (*mesh.DealReply, error) {
 	if len(c.Engines) > 0 {
 		return ForwardToEngines(ctx, a.common, a.http, c)
 	}
 	members, ok := a.membersIn(c.Order.Epoch)
 	if !ok {
-		return nil, fault.New(fault.BadRequest, "the group's members are not known in epoch %d", c.Order.Epoch)
+		return nil, fault.New(fault.BadRequest, "members of the group in epoch %d were not received", c.Order.Epoch)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Left)
 	defer cancel()
@@ -92,12 +93,12 @@
 	return reply, nil
 }
 
-// dealOne hands the order to one rank, the own or another's.
+// relayOrder sends the order to the own or another rank.
 func (a *Agent) relayOrder(ctx context.Context, m mesh.Member, o mesh.OrderCall) mesh.Dealt {
 	var reply *mesh.OrderReply
 	var err error
 	if o.Prepare != nil {
-		prepare := *o.Prepare // the own agent makes it whole; the others receive what changed
+		prepare := *o.Prepare // the own agent expands it in place; the others receive only the changed rows
 		o.Prepare = &prepare
 	}
 	if m.Agent == a.settings().Peers {
@@ -111,15 +112,16 @@
 	return mesh.Dealt{Result: reply.Result}
 }
 
-// dealMost bounds how long orders are handed out for another group, whatever its coordinator asks.
+// maxForwardTime bounds the time spent on forwarding an order of another group, whatever
+// timeout its coordinator requests.
 const maxForwardTime = time.Second
 
-// ForwardToEngines gives one order to all engines that the call names, for the coordinator of a
-// group that is not the own.
+// ForwardToEngines sends one order to all engines that the call names, on behalf of another
+// group's coordinator.
 func ForwardToEngines(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.DealCall) (*mesh.DealReply, error) {
 	o := call.Order.Order()
 	if o == nil {
-		return nil, fault.New(fault.BadRequest, "a call without an order")
+		return nil, fault.New(fault.BadRequest, "order to forward to %d engines is empty", len(call.Engines))
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(call.Left, maxForwardTime))
 	defer cancel()
@@ -127,10 +129,10 @@
 	var sends sync.WaitGroup
 	for i, address := range call.Engines {
 		sends.Go(func() {
-			toSend := orders.Call{Epoch: call.Order.Epoch, Fence: call.Order.Fence, Order: o}
-			res, err := issueOrder(ctx, c, platform.NewEngine(address, client), toSend)
+			engineCall := orders.Call{Epoch: call.Order.Epoch, Fence: call.Order.Fence, Order: o}
+			res, err := issueOrder(ctx, c, platform.NewEngine(address, client), engineCall)
 			if err != nil {
-				c.Log.Debug("order not answered", "engine", address, "order", orders.Name(o), "err", err)
+				c.Log.Debug("engine did not respond to forwarded order; reporting it as lost", "engine", address, "order", orders.Name(o), "err", err)
 				res = orders.Lost
 			}
 			reply.Dealt[i].Result = res
