--- a/node/distribution/count_deltas.go
+++ b/node/distribution/count_deltas.go
@@ -8,56 +8,59 @@
 	"clovertrail.dev/mesh"
 )
 
-// pickMemory is how old the counts that an asker had last may be: a longer time
-// would hide a shift of demand behind what came before it.
-const pickMemory = 3 * time.Second
+// maxSampleAge bounds the age of the counts of a requester's previous request: over a longer
+// time, the demand before a shift would hide the shift.
+const maxSampleAge = 3 * time.Second
 
-// CountDeltas turns an engine's running counts into what was chosen since each asker had
-// them last, so that little has to be sent.
+// CountDeltas converts the running counts of an engine's selected experts into their increase
+// since the previous request of each requester, so that responses are short.
 //
 // Lock order: mu is the only lock.
 type CountDeltas struct {
 	mu   sync.Mutex
-	last map[domain.GroupName]map[int]counted // by the asker's group and rank
+	last map[domain.GroupName]map[int]countSample // by the requester's group and rank
 }
 
-// Requester is who asks what was chosen: a rank of a group.
+// Requester identifies the rank of a group whose coordinator requests counts.
 type Requester struct {
 	Group domain.GroupName
 	Rank  int
 }
 
-// counted are running counts at a time, of the engine that was born then.
-type counted struct {
+// countSample holds the running counts of an engine at one time.
+type countSample struct {
 	at     time.Time
-	born   domain.Born
+	born   domain.Born // start of the engine's process
 	counts []uint64
 }
 
-// NewCountDeltas returns picks of an engine that nobody asked yet.
-func NewCountDeltas() *CountDeltas { return &CountDeltas{last: map[domain.GroupName]map[int]counted{}} }
-
-// Since gives what was chosen since the asker had the counts last; nil if that is
-// not known. An engine that started again counts from zero; its counts may have grown past
-// those of the start before, and then only its birth shows it.
-func (p *CountDeltas) Since(now time.Time, asker Requester, born domain.Born, counts []uint64) *mesh.Picked {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.last[asker.Group] == nil {
-		clear(p.last) // the rank is in another group now
-		p.last[asker.Group] = map[int]counted{}
+// NewCountDeltas returns the state of an agent that has served no requests for counts.
+func NewCountDeltas() *CountDeltas {
+	return &CountDeltas{last: map[domain.GroupName]map[int]countSample{}}
+}
+
+// Since returns the increase of the counts since the requester's previous request; nil if it
+// cannot be computed, as for a first request, after a restart of the engine or after
+// maxSampleAge. A restarted engine counts from zero. Its counts may have grown past those of the
+// previous process, and then only the changed start time shows the restart.
+func (d *CountDeltas) Since(now time.Time, requester Requester, born domain.Born, counts []uint64) *mesh.Picked {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.last[requester.Group] == nil {
+		clear(d.last) // the rank is in another group now
+		d.last[requester.Group] = map[int]countSample{}
 	}
-	before := p.last[asker.Group][asker.Rank]
-	p.last[asker.Group][asker.Rank] = counted{at: now, born: born, counts: counts}
-	if len(before.counts) != len(counts) || before.born != born || now.Sub(before.at) > pickMemory {
+	before := d.last[requester.Group][requester.Rank]
+	d.last[requester.Group][requester.Rank] = countSample{at: now, born: born, counts: counts}
+	if len(before.counts) != len(counts) || before.born != born || now.Sub(before.at) > maxSampleAge {
 		return nil
 	}
-	fresh := make([]uint64, len(counts))
+	deltas := make([]uint64, len(counts))
 	for i, n := range counts {
 		if n < before.counts[i] {
 			return nil
 		}
-		fresh[i] = n - before.counts[i]
+		deltas[i] = n - before.counts[i]
 	}
-	return mesh.Pack(fresh)
+	return mesh.Pack(deltas)
 }
--- a/node/distribution/counter.go
+++ b/node/distribution/counter.go
@@ -5,16 +5,17 @@
 	"clovertrail.dev/mesh"
 )
 
-// Counter adds up what the ranks of a group chose since the last take.
+// Counter sums the counts of selected experts over the ranks of a group. It is not safe for
+// concurrent use.
 type Counter struct {
-	shape rebalance.Shape
-	fresh map[int]bool // ranks that reported since the last take
-	sum   rebalance.Load
+	shape    rebalance.Shape
+	reported map[int]bool // ranks that reported since the last reset
+	sum      rebalance.Load
 }
 
 // NewCounter returns a counter for a group of the shape.
 func NewCounter(s rebalance.Shape) *Counter {
-	c := &Counter{shape: s, fresh: map[int]bool{}}
+	c := &Counter{shape: s, reported: map[int]bool{}}
 	c.clear()
 	return c
 }
@@ -24,27 +25,27 @@
 	for l := range c.sum {
 		c.sum[l] = make([]float64, c.shape.Experts)
 	}
-	clear(c.fresh)
+	clear(c.reported)
 }
 
-// Add takes what a rank chose, or nil if that could not be had, and reports whether
-// all ranks have reported since the last take.
+// Add adds the counts of a rank, or nil if the rank has none to report, and reports whether all
+// ranks have reported since the last reset. Counts of another shape are not added.
 func (c *Counter) Add(rank int, p *mesh.Picked) bool { return c.AddSum([]int{rank}, p) }
 
-// AddSum takes what several ranks chose together, as Add does for one.
+// AddSum adds the summed counts of several ranks, as Add does for one.
 func (c *Counter) AddSum(ranks []int, p *mesh.Picked) bool {
 	for _, r := range ranks {
-		c.fresh[r] = true
+		c.reported[r] = true
 	}
 	if p != nil && len(p.Steps) == c.shape.Layers*c.shape.Experts {
 		for i := range p.Steps {
 			c.sum[i/c.shape.Experts][i%c.shape.Experts] += p.Number(i)
 		}
 	}
-	return len(c.fresh) == c.shape.Ranks
+	return len(c.reported) == c.shape.Ranks
 }
 
-// SumAndReset returns what was chosen, by layer and expert, and starts over.
+// SumAndReset returns the sum of the counts, by layer and expert, and resets the counter.
 func (c *Counter) SumAndReset() rebalance.Load {
 	sum := c.sum
 	c.clear()
--- a/node/distribution/doc.go
+++ b/node/distribution/doc.go
@@ -1,28 +1,30 @@
-// Package distribution keeps messages between the agents of a group short: a map as what
-// changed since one that was sent before, the counts of chosen experts as what came since
-// they were sent last, and both by way of relays where a group is large.
+// Package distribution keeps the messages between agents and boxes few and short. A map is sent
+// as its changes since an earlier map, and the counts of selected experts as their increase
+// since the last request; in a large group both go through relays. The package also decides
+// which forwarder sends an order, when an agent is sent the members of its group, and which
+// target statuses are passed on to other boxes.
 //
-// A coordinator sends every rank each map and asks each rank what was chosen, several
-// times a second. Told whole, that fills the narrow links of target boxes from a few
-// dozen ranks on: orders come too late, and other ranks take the coordinator for lost.
+// A coordinator sends each map to every rank and requests the expert counts of every rank,
+// several times a second. Sent in full, these messages fill the narrow links of target boxes
+// from a few dozen ranks on: orders arrive late, and other ranks consider the coordinator lost.
 //
 // The package does no I/O.
 //
 // # Usage
 //
-//	told := distribution.NewTold()                  // at the coordinator
-//	call = told.Shorten(rank, mesh.CallOf(order))
-//	told.Took(rank, prepare, err)              // as the rank's agent answered
+//	sent := distribution.NewSentMaps()                // at the coordinator
+//	call = sent.Shorten(rank, mesh.CallOf(order))
+//	sent.RecordReply(rank, prepare, err)              // with the response of the rank's agent
 //
-//	maps := distribution.NewPlacements()            // at every agent
-//	err := maps.Whole(call)                    // before the order goes to the engine
+//	received := distribution.NewReceivedMaps()        // at every agent
+//	err := received.Expand(call)                      // before the order goes to the engine
 //
-//	picks := distribution.NewPicks()                // at every agent
-//	report.Picked = picks.Since(now, asker, born, counts)
+//	deltas := distribution.NewCountDeltas()           // at every agent
+//	report.Picked = deltas.Since(now, requester, born, counts)
 //
-//	relays := distribution.NewRelays(rank, members) // at the coordinator of a large group
-//	for _, p := range relays.Through(ranks, fit) { ask(p.Relay, p.Ranks) }
+//	relays := distribution.NewRelays(rank, members)   // at the coordinator of a large group
+//	for _, a := range relays.Assign(ranks, eligible) { read(a.Relay, a.Ranks) }
 //
-//	counter := distribution.NewCounter(shape)       // at the coordinator
-//	if counter.Add(rank, report.Picked) { load := counter.Take() }
+//	counter := distribution.NewCounter(shape)         // at the coordinator
+//	if counter.Add(rank, report.Picked) { load := counter.SumAndReset() }
 package distribution
--- a/node/distribution/forwarders.go
+++ b/node/distribution/forwarders.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// helperFor is how long after it was named a helper counts: three times updateEvery, in
-// which an agent is named them again.
-const helperFor = 3 * updateEvery
+// forwarderTTL is how long a forwarder is used after its address was last received: three times
+// updateInterval, the interval at which an agent receives the addresses again.
+const forwarderTTL = 3 * updateInterval
 
-// Forwarders are processes outside a group, on boxes without a rank of it, that hand orders
-// on for its coordinator, by turns.
+// Forwarders holds the addresses of processes that forward orders for a group's coordinator.
+// They run on boxes without a rank of the group, and are used in turn.
 //
 // Lock order: mu is the only lock.
 type Forwarders struct {
-	mu    sync.Mutex
-	named map[string]time.Time // by address
-	turn  int
+	mu        sync.Mutex
+	lastNamed map[string]time.Time // when an address was last received
+	turn      int                  // number of calls of Next that returned a forwarder
 }
 
 // NewForwarders returns an empty set.
-func NewForwarders() *Forwarders { return &Forwarders{named: map[string]time.Time{}} }
+func NewForwarders() *Forwarders { return &Forwarders{lastNamed: map[string]time.Time{}} }
 
-// Add takes addresses that were named now.
-func (h *Forwarders) Add(now time.Time, addresses []string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Add records addresses that were received now.
+func (f *Forwarders) Add(now time.Time, addresses []string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	for _, a := range addresses {
-		h.named[a] = now
+		f.lastNamed[a] = now
 	}
 }
 
-// Next gives the address of a helper, a different one each time; empty if none is known.
-func (h *Forwarders) Next(now time.Time) string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	list := make([]string, 0, len(h.named))
-	for a, at := range h.named {
-		if now.Sub(at) > helperFor {
-			delete(h.named, a)
+// Next returns the addresses of the forwarders in turn; empty if there is none.
+func (f *Forwarders) Next(now time.Time) string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	list := make([]string, 0, len(f.lastNamed))
+	for a, at := range f.lastNamed {
+		if now.Sub(at) > forwarderTTL {
+			delete(f.lastNamed, a)
 			continue
 		}
 		list = append(list, a)
@@ -48,13 +48,13 @@
 		return ""
 	}
 	slices.Sort(list)
-	h.turn++
-	return list[h.turn%len(list)]
+	f.turn++
+	return list[f.turn%len(list)]
 }
 
-// ReportFailure drops a helper that did not answer, until it is named again.
-func (h *Forwarders) ReportFailure(address string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.named, address)
+// ReportFailure drops a forwarder that did not respond, until its address is received again.
+func (f *Forwarders) ReportFailure(address string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.lastNamed, address)
 }
--- a/node/distribution/group_update.go
+++ b/node/distribution/group_update.go
@@ -6,72 +6,73 @@
 	"clovertrail.dev/mapswitch/orders"
 )
 
-// updateEvery is the time between two updates of an agent about who is in its
-// group though it knows that: the others of which it was informed may be gone.
-const updateEvery = 5 * time.Second
+// updateInterval is the time between two updates of an agent that already has the members of
+// its group: the other processes that it was informed of may be gone.
+const updateInterval = 5 * time.Second
 
-// GroupUpdate decides when an entry box sends an agent the members of its group: dozens of
-// ranks, which need not come with every question.
+// GroupUpdate decides when an entry box sends an agent the members of its group. These are
+// dozens of ranks, too many to send with every query.
 type GroupUpdate struct {
-	heard   bool         // the agent acknowledged an epoch
-	knows   orders.Epoch // the last that it acknowledged
-	at      time.Time    // of the last update, by any box
-	chance  float64
-	wait    time.Duration // from an answer without the epoch to the update
-	unknown time.Time     // since when it is known to lack the group; zero if it has it
+	acknowledged      bool          // whether the agent has acknowledged any epoch
+	acknowledgedEpoch orders.Epoch  // the last epoch that the agent acknowledged
+	lastUpdate        time.Time     // time of the last update, by any box
+	jitter            float64       // share of the spread that this box waits
+	wait              time.Duration // from a response without the epoch to the update
+	lackingSince      time.Time     // when the agent was first found to lack the group; zero if it has the members
 }
 
-// updateBoxes is how many boxes that ask an agent spread their updates over all of
-// updateSpread; fewer need less.
-const updateBoxes = 30
+// maxSpreadBoxes is the number of boxes querying an agent from which on their updates are spread
+// over all of maxSpread; fewer boxes use proportionally less.
+const maxSpreadBoxes = 30
 
-// updateSpread bounds the wait of a box before it updates an agent that lacks its group. Of
-// dozens of boxes that start together the first few update it, and the rest find that it is up
-// to date: updates from all at once would fill the agent's link, and a group that was just formed
-// could not be read meanwhile.
-const updateSpread = 400 * time.Millisecond
+// maxSpread bounds the wait of a box before it updates an agent that lacks the members of its
+// group. Of dozens of boxes that start together, the first few update the agent, and the others
+// find it up to date: simultaneous updates from all boxes would fill the agent's link, and a
+// group that was just formed could not be read meanwhile.
+const maxSpread = 400 * time.Millisecond
 
-// NewGroupUpdate returns that of a box that has not asked the agent. The chance, from 0 up to
-// 1, distinguishes boxes.
-func NewGroupUpdate(chance float64) *GroupUpdate {
-	return &GroupUpdate{chance: chance, wait: time.Duration(chance * float64(updateSpread))}
+// NewGroupUpdate returns the state of a box that has not queried the agent. The jitter is a
+// random number from 0 up to 1 that spreads the updates of different boxes.
+func NewGroupUpdate(jitter float64) *GroupUpdate {
+	return &GroupUpdate{jitter: jitter, wait: time.Duration(jitter * float64(maxSpread))}
 }
 
-// SetBoxes sets how many boxes ask the agent: the fewer, the sooner each may update it.
+// SetBoxes sets the number of boxes that query the agent. The fewer boxes there are, the sooner
+// each may update the agent.
 func (u *GroupUpdate) SetBoxes(boxes int) {
-	spread := updateSpread * time.Duration(min(boxes, updateBoxes)) / updateBoxes
-	u.wait = time.Duration(u.chance * float64(spread))
+	spread := maxSpread * time.Duration(min(boxes, maxSpreadBoxes)) / maxSpreadBoxes
+	u.wait = time.Duration(u.jitter * float64(spread))
 }
 
-// Delay is for how long from now the agent is not updated though it lacks its group; zero if
-// no update is due.
+// Delay returns the remaining wait before the agent is updated; zero if the agent does not lack
+// its group or the wait is over.
 func (u *GroupUpdate) Delay(now time.Time) time.Duration {
-	if u.unknown.IsZero() {
+	if u.lackingSince.IsZero() {
 		return 0
 	}
-	return max(u.unknown.Add(u.wait).Sub(now), 0)
+	return max(u.lackingSince.Add(u.wait).Sub(now), 0)
 }
 
-// Due reports whether the agent of a rank in the epoch is to be updated now; it then counts as
-// updated. The agent has to be asked just before, as another box may have updated it.
+// Due reports whether the agent of a rank in the epoch is to be updated now. If so, it records
+// the update. Query the agent just before the call, since another box may have updated it.
 func (u *GroupUpdate) Due(now time.Time, e orders.Epoch) bool {
-	if u.knows == e {
-		u.unknown = time.Time{}
-		if u.at.IsZero() {
-			u.at = now // another box updated it
+	if u.acknowledgedEpoch == e {
+		u.lackingSince = time.Time{}
+		if u.lastUpdate.IsZero() {
+			u.lastUpdate = now // another box updated it
 		}
-	} else if u.unknown.IsZero() {
-		u.unknown = now
+	} else if u.lackingSince.IsZero() {
+		u.lackingSince = now
 	}
 	switch {
-	case !u.heard,
-		u.knows == e && now.Sub(u.at) < updateEvery,
-		u.knows != e && now.Sub(u.unknown) < u.wait:
+	case !u.acknowledged,
+		u.acknowledgedEpoch == e && now.Sub(u.lastUpdate) < updateInterval,
+		u.acknowledgedEpoch != e && now.Sub(u.lackingSince) < u.wait:
 		return false
 	}
-	u.at = now
+	u.lastUpdate = now
 	return true
 }
 
-// Acknowledged takes the epoch for which the agent reports that it knows its group.
-func (u *GroupUpdate) Acknowledged(e orders.Epoch) { u.heard, u.knows = true, e }
+// Acknowledged records the epoch for which the agent reports that it has the members.
+func (u *GroupUpdate) Acknowledged(e orders.Epoch) { u.acknowledged, u.acknowledgedEpoch = true, e }
--- a/node/distribution/maps.go
+++ b/node/distribution/maps.go
@@ -7,84 +7,89 @@
 	"clovertrail.dev/mesh"
 )
 
-// placementsMost is how many maps an agent keeps: the one in use, the one that is
-// prepared, and one before them, of which the changes may be sent.
-const placementsMost = 3
+// maxReceivedMaps is the number of maps that an agent keeps: the map in use, the prepared map,
+// and an earlier map that the changes of the next one may be based on.
+const maxReceivedMaps = 3
 
-// ReceivedMaps are the maps that the coordinator of the group sent this agent lately.
+// ReceivedMaps holds the maps that this agent last received from the coordinator of its group,
+// all of one epoch.
 //
 // Lock order: mu is the only lock.
 type ReceivedMaps struct {
-	mu    sync.Mutex
-	epoch orders.Epoch
-	order []orders.Version // the latest is last
-	known map[orders.Version]orders.Placement
+	mu       sync.Mutex
+	epoch    orders.Epoch
+	versions []orders.Version // of the maps, in the order received
+	maps     map[orders.Version]orders.Placement
 }
 
-// NewReceivedMaps returns the maps of an agent that was sent none.
-func NewReceivedMaps() *ReceivedMaps { return &ReceivedMaps{known: map[orders.Version]orders.Placement{}} }
+// NewReceivedMaps returns an empty set of maps.
+func NewReceivedMaps() *ReceivedMaps {
+	return &ReceivedMaps{maps: map[orders.Version]orders.Placement{}}
+}
 
-// Expand gives the call with its map made whole.
-func (p *ReceivedMaps) Expand(c *mesh.OrderCall) error {
+// Expand replaces the changed rows in a Prepare call by the whole map, and stores the map. It
+// returns mesh.UnknownBase if the map that the rows are based on is not stored.
+func (r *ReceivedMaps) Expand(c *mesh.OrderCall) error {
 	if c.Prepare == nil {
 		return nil
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if c.Epoch > p.epoch {
-		p.epoch, p.order = c.Epoch, nil
-		clear(p.known)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if c.Epoch > r.epoch {
+		r.epoch, r.versions = c.Epoch, nil
+		clear(r.maps)
 	}
 	if c.Base != 0 {
-		base, ok := p.known[c.Base]
-		if ok && c.Epoch == p.epoch {
+		base, ok := r.maps[c.Base]
+		if ok && c.Epoch == r.epoch {
 			c.Prepare.Map, ok = base.Apply(c.Rows)
 		}
-		if !ok || c.Epoch != p.epoch {
+		if !ok || c.Epoch != r.epoch {
 			return mesh.UnknownBase(c.Base)
 		}
 	}
-	p.keep(c.Prepare.Version, c.Prepare.Map)
+	r.store(c.Prepare.Version, c.Prepare.Map)
 	return nil
 }
 
-// keep keeps a map; mu is held.
-func (p *ReceivedMaps) keep(v orders.Version, m orders.Placement) {
-	if _, known := p.known[v]; known || m == nil {
+// store adds a map, and evicts the oldest beyond maxReceivedMaps. The caller holds mu.
+func (r *ReceivedMaps) store(v orders.Version, m orders.Placement) {
+	if _, ok := r.maps[v]; ok || m == nil {
 		return
 	}
-	p.known[v] = m
-	p.order = append(p.order, v)
-	if len(p.order) > placementsMost {
-		delete(p.known, p.order[0])
-		p.order = p.order[1:]
+	r.maps[v] = m
+	r.versions = append(r.versions, v)
+	if len(r.versions) > maxReceivedMaps {
+		delete(r.maps, r.versions[0])
+		r.versions = r.versions[1:]
 	}
 }
 
-// SentMaps are the maps that a coordinator knows other ranks' agents to have. One
-// goroutine owns it.
+// SentMaps holds the last map that the agent of each other rank is known to have. It belongs to
+// a coordinator, and is not safe for concurrent use.
 type SentMaps struct {
-	ranks map[int]toldMap
+	ranks map[int]sentMap
 }
 
-type toldMap struct {
-	version orders.Version
-	whole   orders.Placement
+type sentMap struct {
+	version   orders.Version
+	placement orders.Placement
 }
 
-// NewSentMaps returns what a coordinator knows that sent no map yet.
-func NewSentMaps() *SentMaps { return &SentMaps{ranks: map[int]toldMap{}} }
+// NewSentMaps returns the state of a coordinator that has sent no maps.
+func NewSentMaps() *SentMaps { return &SentMaps{ranks: map[int]sentMap{}} }
 
-// Shorten replaces a map by what changed since one that the rank's agent has.
-func (t *SentMaps) Shorten(rank int, c *mesh.OrderCall) *mesh.OrderCall {
+// Shorten replaces the map in a Prepare call by the rows that differ from the map that the
+// rank's agent has, if there is one.
+func (s *SentMaps) Shorten(rank int, c *mesh.OrderCall) *mesh.OrderCall {
 	if c.Prepare == nil {
 		return c
 	}
-	base, ok := t.ranks[rank]
+	base, ok := s.ranks[rank]
 	if !ok {
 		return c
 	}
-	rows, ok := c.Prepare.Map.Diff(base.whole)
+	rows, ok := c.Prepare.Map.Diff(base.placement)
 	if !ok {
 		return c
 	}
@@ -93,19 +98,21 @@
 	return c
 }
 
-// BaseVersion is the version of the map of which changes can be sent to the rank; 0 for none.
-func (t *SentMaps) BaseVersion(rank int) orders.Version { return t.ranks[rank].version }
+// BaseVersion returns the version of the map that changes sent to the rank are based on; 0 if
+// the rank needs the whole map.
+func (s *SentMaps) BaseVersion(rank int) orders.Version { return s.ranks[rank].version }
 
-// RecordReply notes what a rank's agent answered to a map. One that did not answer still has
-// the map that it had.
-func (t *SentMaps) RecordReply(rank int, p orders.Prepare, err error) {
+// RecordReply records the response of a rank's agent to a map. An agent that did not respond
+// still has its previous map.
+func (s *SentMaps) RecordReply(rank int, p orders.Prepare, err error) {
 	switch {
 	case err == nil:
-		t.ranks[rank] = toldMap{version: p.Version, whole: p.Map}
+		s.ranks[rank] = sentMap{version: p.Version, placement: p.Map}
 	case mesh.IsUnknownBase(err):
-		delete(t.ranks, rank)
+		delete(s.ranks, rank)
 	}
 }
 
-// CoversAll reports that the agents of so many other ranks have a map each.
-func (t *SentMaps) CoversAll(ranks int) bool { return len(t.ranks) >= ranks-1 }
+// CoversAll reports whether, in a group of the given number of ranks, all agents other than the
+// coordinator's have a map that changes can be based on.
+func (s *SentMaps) CoversAll(ranks int) bool { return len(s.ranks) >= ranks-1 }
--- a/node/distribution/relays.go
+++ b/node/distribution/relays.go
@@ -8,31 +8,31 @@
 	"clovertrail.dev/mesh"
 )
 
-// partMost is how many ranks one agent reports for. With parts of about the square root of
-// a group's size, the coordinator and the agents it calls send about as much each.
-const partMost = 10
+// maxRanksPerRelay bounds the ranks that one relay calls. With about the square root of the
+// group's size per relay, the coordinator and each relay send about the same amount.
+const maxRanksPerRelay = 10
 
-// Relays part the ranks of a large group, hall by hall, so that its coordinator calls
-// one agent of each part, its relay, and that one to the others. Otherwise the coordinator's link
-// would be the bound on how often a map can change (docs/CAPACITY.md).
+// Relays partitions the ranks of a large group, each data hall by itself. The coordinator calls
+// one agent of each partition, its relay, which calls the others. Without relays the
+// coordinator's link would limit how often a map can change (docs/CAPACITY.md).
 //
-// One goroutine owns it.
+// It is not safe for concurrent use.
 type Relays struct {
-	self  int
-	parts [][]int     // ranks, in order
-	of    map[int]int // the part of a rank
+	self        int         // the coordinator's rank
+	partitions  [][]int     // ranks in ascending order
+	partitionOf map[int]int // index in partitions, by rank
 }
 
-// Assignment is some ranks that are spoken to through the agent of one of them.
+// Assignment names the relay through which ranks of one partition are called.
 type Assignment struct {
-	Relay int // a rank of the part; NoRelay if none is fit
+	Relay int // a rank of the partition; NoRelay if none is eligible
 	Ranks []int
 }
 
-// NoRelay stands for a relay where every rank is to be spoken to by itself.
+// NoRelay as the relay of an assignment means that its ranks are called directly.
 const NoRelay = -1
 
-// NewRelays parts the members but the coordinator itself.
+// NewRelays partitions the members except the coordinator, whose rank is self.
 func NewRelays(self int, members map[int]mesh.Member) *Relays {
 	halls := map[domain.HallName][]int{}
 	for r, m := range members {
@@ -43,30 +43,30 @@
 	var all [][]int
 	for _, ranks := range halls {
 		slices.Sort(ranks)
-		parts := (len(ranks) + partMost - 1) / partMost
-		all = slices.AppendSeq(all, slices.Chunk(ranks, (len(ranks)+parts-1)/parts))
+		partitions := (len(ranks) + maxRanksPerRelay - 1) / maxRanksPerRelay
+		all = slices.AppendSeq(all, slices.Chunk(ranks, (len(ranks)+partitions-1)/partitions))
 	}
 	slices.SortFunc(all, func(a, b []int) int { return cmp.Compare(a[0], b[0]) })
-	r := &Relays{self: self, parts: all, of: map[int]int{}}
-	for i, part := range all {
-		for _, rank := range part {
-			r.of[rank] = i
+	r := &Relays{self: self, partitions: all, partitionOf: map[int]int{}}
+	for i, partition := range all {
+		for _, rank := range partition {
+			r.partitionOf[rank] = i
 		}
 	}
 	return r
 }
 
-// Partitions is how many parts there are.
-func (r *Relays) Partitions() int { return len(r.parts) }
+// Partitions returns the number of partitions.
+func (r *Relays) Partitions() int { return len(r.partitions) }
 
-// Assign gives through whom each of the ranks is called. fit reports whether a rank's
-// agent may be a relay; the first that is reports for its part, counted from a place that
-// differs from one coordinator to the next: where two are at work for a moment, they do
-// not lean on the same agents.
-func (r *Relays) Assign(ranks []int, fit func(rank int) bool) []Assignment {
-	wanted := make([][]int, len(r.parts))
+// Assign assigns the ranks to relays, with at most one assignment per partition. The function
+// eligible reports whether a rank's agent may be a relay. The relay is the first eligible rank
+// of the partition, from a start index that depends on the coordinator's rank: if two
+// coordinators are active for a moment, they do not load the same agents.
+func (r *Relays) Assign(ranks []int, eligible func(rank int) bool) []Assignment {
+	wanted := make([][]int, len(r.partitions))
 	for _, rank := range ranks {
-		if i, ok := r.of[rank]; ok {
+		if i, ok := r.partitionOf[rank]; ok {
 			wanted[i] = append(wanted[i], rank)
 		}
 	}
@@ -77,9 +77,9 @@
 		}
 		slices.Sort(w)
 		relay := NoRelay
-		for j := range r.parts[i] {
-			rank := r.parts[i][(r.self+j)%len(r.parts[i])]
-			if fit(rank) {
+		for j := range r.partitions[i] {
+			rank := r.partitions[i][(r.self+j)%len(r.partitions[i])]
+			if eligible(rank) {
 				relay = rank
 				break
 			}
--- a/node/distribution/target_statuses.go
+++ b/node/distribution/target_statuses.go
@@ -8,76 +8,79 @@
 	"clovertrail.dev/mesh"
 )
 
-// sightingFor is how long after its last report a target is still passed on: long
-// enough that others see its silence grow, and short of what a box that is gone
-// for good costs in every answer.
-const sightingFor = 10 * time.Second
+// statusRetention is how long after a target's last report its status is still sent to other
+// boxes: long enough for them to notice that the target has stopped reporting, and short, since
+// the targets of a box that is gone for good add to every response.
+const statusRetention = 10 * time.Second
 
-// TargetStatuses are what this box learned of targets, from those that it asks itself and from
-// other boxes, kept for boxes that ask it.
+// TargetStatuses holds the last status received of each target, from the target itself or from
+// another box, to serve the queries of other boxes.
 //
 // Lock order: mu is the only lock.
 type TargetStatuses struct {
-	mu   sync.Mutex
-	seen map[domain.InstanceID]sighting
+	mu       sync.Mutex
+	statuses map[domain.InstanceID]targetStatus
 }
 
-type sighting struct {
-	at      time.Time
-	word    mesh.Sighting
-	missing bool // nothing came back from its box the last time
-	told    bool // another box heard it
+type targetStatus struct {
+	reportedAt  time.Time
+	status      mesh.Sighting
+	unreachable bool // the target's box sent no response at all to the last query
+	fromPeer    bool // received from another box
 }
 
-// NewTargetStatuses returns the sightings of a box that has no reports yet.
-func NewTargetStatuses() *TargetStatuses { return &TargetStatuses{seen: map[domain.InstanceID]sighting{}} }
+// NewTargetStatuses returns the state of a box that has received no reports.
+func NewTargetStatuses() *TargetStatuses {
+	return &TargetStatuses{statuses: map[domain.InstanceID]targetStatus{}}
+}
 
-// RecordReport takes what a target reported just now.
+// RecordReport stores the report that a target sent now.
 func (s *TargetStatuses) RecordReport(now time.Time, id domain.InstanceID, r *mesh.RankReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen[id] = sighting{at: now, word: mesh.Sighting{
+	s.statuses[id] = targetStatus{reportedAt: now, status: mesh.Sighting{
 		ID: id, Epoch: r.State.Epoch, Open: r.State.Open, Step: r.State.Step,
 		Running: r.Running, Waiting: r.Waiting, Pace: float32(r.Pace),
 	}}
 }
 
-// RecordFromPeer takes what another box learned of a target at the time.
+// RecordFromPeer stores a target status that another box received at the given time, unless
+// a newer status is stored. At equal times, a status that reports the target as unreachable wins.
 func (s *TargetStatuses) RecordFromPeer(at time.Time, w mesh.Sighting) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if x, ok := s.seen[w.ID]; !ok || at.After(x.at) || at.Equal(x.at) && w.Missing {
-		s.seen[w.ID] = sighting{at: at, word: w, missing: w.Missing, told: true}
+	if x, ok := s.statuses[w.ID]; !ok || at.After(x.reportedAt) || at.Equal(x.reportedAt) && w.Missing {
+		s.statuses[w.ID] = targetStatus{reportedAt: at, status: w, unreachable: w.Missing, fromPeer: true}
 	}
 }
 
-// MarkUnreachable takes that nothing at all came back from the target's box.
+// MarkUnreachable records that the target's box sent no response at all.
 func (s *TargetStatuses) MarkUnreachable(id domain.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if x, ok := s.seen[id]; ok {
-		x.missing = true
-		s.seen[id] = x
+	if x, ok := s.statuses[id]; ok {
+		x.unreachable = true
+		s.statuses[id] = x
 	}
 }
 
-// Latest are the latest reports, with their ages, for another box: those from the
-// targets themselves, or all.
+// Latest returns the stored statuses with their ages, for another box: those received from the
+// targets themselves or, if all is set, also those received from other boxes.
 func (s *TargetStatuses) Latest(now time.Time, all bool) *mesh.HallReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := &mesh.HallReport{}
-	for id, x := range s.seen {
-		ago := now.Sub(x.at)
-		if ago > sightingFor {
-			delete(s.seen, id)
+	for id, x := range s.statuses {
+		ago := now.Sub(x.reportedAt)
+		if ago > statusRetention {
+			delete(s.statuses, id)
 			continue
 		}
-		if x.told && !all {
+		if x.fromPeer && !all {
 			continue
 		}
-		w := x.word
-		w.Ago, w.Missing = ago, x.missing
+		w := x.status
+		w.Ago, w.Missing = ago, x.unreachable
 		out.Targets = append(out.Targets, w)
 	}
 	return out
--- a/node/rank/dispatching.go
+++ b/node/rank/dispatching.go
@@ -68,14 +68,14 @@
 // other calls.
 func (g *groupCoordinator) sendBatches(ctx context.Context, calls []orders.Call, distributionTime time.Duration) []orders.Call {
 	maps := map[orders.Version][]orders.Call{} // by the version of the base that their maps are sent as changes of
-	var underHold, rest []orders.Call
+	var underHoldCalls, rest []orders.Call
 	for _, c := range calls {
 		_, prepares := c.Order.(orders.Prepare)
 		switch {
 		case c.Rank == g.rank || !prepares && g.unresponsive.contains(c.Rank):
 			rest = append(rest, c)
 		case !prepares:
-			underHold = append(underHold, c)
+			underHoldCalls = append(underHoldCalls, c)
 		case g.usesRelay(c.Rank):
 			base := g.sentMaps.BaseVersion(c.Rank)
 			maps[base] = append(maps[base], c)
@@ -88,7 +88,7 @@
 			rest = append(rest, g.sendViaRelays(ctx, batch, orderTimeout+distributionTime)...)
 		}
 	}
-	for _, batch := range groupByOrder(underHold) {
+	for _, batch := range groupByOrder(underHoldCalls) {
 		rest = append(rest, g.sendViaForwarders(ctx, batch)...)
 	}
 	return rest
