--- a/node/distribution/distribution_test.go
+++ b/node/distribution/distribution_test.go
@@ -16,13 +16,14 @@
 )
 
 var (
-	begin = time.Unix(1_800_000_000, 0)
-	// large is the shape of a group of a few dozen ranks.
-	large = rebalance.Shape{Ranks: 32, Layers: 12, Experts: 128, Slots: 5}
+	start = time.Unix(1_800_000_000, 0)
+	// largeShape is the shape of a group of a few dozen ranks.
+	largeShape = rebalance.Shape{Ranks: 32, Layers: 12, Experts: 128, Slots: 5}
 )
 
-// dealt deals the experts of a shape in turn, as in the first map of a group.
-func dealt(s rebalance.Shape) orders.Placement {
+// roundRobinMap assigns the experts of each layer to the ranks in turn, as the first map of a
+// group does.
+func roundRobinMap(s rebalance.Shape) orders.Placement {
 	m := make(orders.Placement, s.Layers)
 	for l := range m {
 		m[l] = make([][]int, s.Ranks)
@@ -33,8 +34,8 @@
 	return m
 }
 
-// moved gives the map with a copy more at each rank.
-func moved(m orders.Placement, seed uint64) orders.Placement {
+// withCopies returns the map with one more expert at each rank.
+func withCopies(m orders.Placement, seed uint64) orders.Placement {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	var rows []orders.Row
 	for r := range m[0] {
@@ -45,156 +46,157 @@
 	return out
 }
 
-// line is a coordinator and one other rank's agent, with messages as they are sent.
-type line struct {
-	t    *testing.T
-	told *distribution.SentMaps
-	maps *distribution.ReceivedMaps
-	sent int // bytes of the last call
+// connection connects a coordinator with the agent of rank 1. Messages are encoded as on the
+// wire.
+type connection struct {
+	t            *testing.T
+	sentMaps     *distribution.SentMaps
+	receivedMaps *distribution.ReceivedMaps
+	sentBytes    int // size of the last call
 }
 
-// tell sends an order, and returns what the agent makes of it.
-func (l *line) tell(p orders.Prepare, arrives bool) (*mesh.OrderCall, error) {
-	l.t.Helper()
-	raw, err := cbor.Marshal(l.told.Shorten(1, mesh.CallOf(orders.Call{Rank: 1, Epoch: 3, Order: p})))
+// send sends an order, and returns the call as the agent expands it. An order that is not
+// delivered gets no response.
+func (c *connection) send(p orders.Prepare, delivered bool) (*mesh.OrderCall, error) {
+	c.t.Helper()
+	raw, err := cbor.Marshal(c.sentMaps.Shorten(1, mesh.CallOf(orders.Call{Rank: 1, Epoch: 3, Order: p})))
 	if err != nil {
-		l.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	l.sent = len(raw)
+	c.sentBytes = len(raw)
 	call := new(mesh.OrderCall)
 	if err := cbor.Unmarshal(raw, call); err != nil {
-		l.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	if !arrives {
-		err = errors.New("no answer")
-		l.told.RecordReply(1, p, err)
+	if !delivered {
+		err = errors.New("no response")
+		c.sentMaps.RecordReply(1, p, err)
 		return nil, err
 	}
-	err = l.maps.Expand(call)
-	l.told.RecordReply(1, p, err)
+	err = c.receivedMaps.Expand(call)
+	c.sentMaps.RecordReply(1, p, err)
 	return call, err
 }
 
-func newLine(t *testing.T) *line {
-	return &line{t: t, told: distribution.NewSentMaps(), maps: distribution.NewReceivedMaps()}
+func newConnection(t *testing.T) *connection {
+	return &connection{t: t, sentMaps: distribution.NewSentMaps(), receivedMaps: distribution.NewReceivedMaps()}
 }
 
-func TestMapsArriveAsTheyWereSent(t *testing.T) {
-	l := newLine(t)
-	m := dealt(large)
+func TestMapsArriveUnchangedDespiteLostMessages(t *testing.T) {
+	c := newConnection(t)
+	m := roundRobinMap(largeShape)
 	for v := range orders.Version(20) {
-		m = moved(m, uint64(v))
-		arrives := v%7 != 3
-		call, err := l.tell(orders.Prepare{Version: v + 1, Map: m}, arrives)
+		m = withCopies(m, uint64(v))
+		delivered := v%7 != 3
+		call, err := c.send(orders.Prepare{Version: v + 1, Map: m}, delivered)
 		switch {
-		case !arrives:
+		case !delivered:
 		case err != nil:
-			t.Fatalf("version %d: %v", v+1, err)
+			t.Fatalf("expanding version %d: %v", v+1, err)
 		case !reflect.DeepEqual(call.Order(), orders.Prepare{Version: v + 1, Map: m}):
-			t.Fatalf("version %d came as another map", v+1)
+			t.Fatalf("version %d was expanded to a different map", v+1)
 		}
 	}
 }
 
-// TestAMapIsToldByWhatChanged: a whole map of a large group is some kilobytes, and
-// each rank is told each map.
-func TestAMapIsToldByWhatChanged(t *testing.T) {
-	l := newLine(t)
-	first := dealt(large)
-	if _, err := l.tell(orders.Prepare{Version: 1, Map: first}, true); err != nil {
+// A whole map of a large group takes some kilobytes, and each rank is sent each map.
+func TestSentMapsSendsOnlyChangedRows(t *testing.T) {
+	c := newConnection(t)
+	first := roundRobinMap(largeShape)
+	if _, err := c.send(orders.Prepare{Version: 1, Map: first}, true); err != nil {
 		t.Fatal(err)
 	}
-	whole := l.sent
-	if _, err := l.tell(orders.Prepare{Version: 2, Map: moved(first, 1)}, true); err != nil {
+	wholeBytes := c.sentBytes
+	if _, err := c.send(orders.Prepare{Version: 2, Map: withCopies(first, 1)}, true); err != nil {
 		t.Fatal(err)
 	}
-	if l.sent*5 > whole {
-		t.Errorf("a copy a rank took %d bytes, the whole map %d", l.sent, whole)
+	if c.sentBytes*5 > wholeBytes {
+		t.Errorf("changes of one copy per rank took %d bytes, the whole map %d; want at most a fifth", c.sentBytes, wholeBytes)
 	}
 }
 
-// TestAnAgentThatStartsAgainIsToldTheWholeMap: it reports that it does not know the map
-// from which the next was told, and prepares nothing.
-func TestAnAgentThatStartsAgainIsToldTheWholeMap(t *testing.T) {
-	l := newLine(t)
-	first, second := dealt(large), moved(dealt(large), 1)
-	if _, err := l.tell(orders.Prepare{Version: 1, Map: first}, true); err != nil {
+// A restarted agent does not have the map that the changes are based on. It reports this with
+// UnknownBase and prepares nothing, and is then sent the whole map.
+func TestSentMapsSendsWholeMapAfterAgentRestart(t *testing.T) {
+	c := newConnection(t)
+	first, second := roundRobinMap(largeShape), withCopies(roundRobinMap(largeShape), 1)
+	if _, err := c.send(orders.Prepare{Version: 1, Map: first}, true); err != nil {
 		t.Fatal(err)
 	}
-	l.maps = distribution.NewReceivedMaps()
-	if call, err := l.tell(orders.Prepare{Version: 2, Map: second}, true); !mesh.IsUnknownBase(err) {
-		t.Fatalf("%v, with the map %v", err, call)
+	c.receivedMaps = distribution.NewReceivedMaps()
+	if call, err := c.send(orders.Prepare{Version: 2, Map: second}, true); !mesh.IsUnknownBase(err) {
+		t.Fatalf("changes sent to a restarted agent: call %v, error %v; want UnknownBase", call, err)
 	}
-	call, err := l.tell(orders.Prepare{Version: 2, Map: second}, true)
+	call, err := c.send(orders.Prepare{Version: 2, Map: second}, true)
 	if err != nil || !reflect.DeepEqual(call.Prepare.Map, second) {
-		t.Errorf("told again: %v", err)
+		t.Errorf("sent again after UnknownBase: error %v, or the map is not the whole map that was sent", err)
 	}
 }
 
-// TestMapsOfAnotherEpochAreForgotten: versions start over where a group forms anew.
-func TestMapsOfAnotherEpochAreForgotten(t *testing.T) {
-	maps := distribution.NewReceivedMaps()
-	m := dealt(large)
-	if err := maps.Expand(&mesh.OrderCall{Epoch: 3, Prepare: &orders.Prepare{Version: 1, Map: m}}); err != nil {
+// Versions start over when a group forms anew, so a version of another epoch is another map.
+func TestReceivedMapsRejectsBaseOfAnotherEpoch(t *testing.T) {
+	received := distribution.NewReceivedMaps()
+	m := roundRobinMap(largeShape)
+	if err := received.Expand(&mesh.OrderCall{Epoch: 3, Prepare: &orders.Prepare{Version: 1, Map: m}}); err != nil {
 		t.Fatal(err)
 	}
 	for _, epoch := range []orders.Epoch{4, 2} {
 		late := &mesh.OrderCall{Epoch: epoch, Prepare: &orders.Prepare{Version: 2}, Base: 1}
-		if err := maps.Expand(late); !mesh.IsUnknownBase(err) {
-			t.Errorf("epoch %d: %v", epoch, err)
+		if err := received.Expand(late); !mesh.IsUnknownBase(err) {
+			t.Errorf("base of epoch 3 in a call of epoch %d: %v, want UnknownBase", epoch, err)
 		}
 	}
 }
 
-func TestWhatWasChosenIsToldSinceTheLastTime(t *testing.T) {
-	p := distribution.NewCountDeltas()
-	at := func(d time.Duration, asker int, counts ...uint64) *mesh.Picked {
-		return p.Since(begin.Add(d), distribution.Requester{Group: "g0", Rank: asker}, 1, counts)
+func TestCountDeltasReturnsIncreaseSincePreviousRequest(t *testing.T) {
+	d := distribution.NewCountDeltas()
+	at := func(after time.Duration, requester int, counts ...uint64) *mesh.Picked {
+		return d.Since(start.Add(after), distribution.Requester{Group: "g0", Rank: requester}, 1, counts)
 	}
 	if got := at(0, 0, 10, 100); got != nil {
-		t.Errorf("the first time: %v", got)
+		t.Errorf("first request: %v, want nil", got)
 	}
 	if got := at(time.Second, 0, 15, 100); got.Number(0) != 5 || got.Number(1) != 0 {
-		t.Errorf("the second time: %v", got)
+		t.Errorf("second request: %v, want increases 5 and 0", got)
 	}
 	if got := at(time.Second, 7, 15, 100); got != nil {
-		t.Errorf("another asker: %v", got)
+		t.Errorf("first request of another rank: %v, want nil", got)
 	}
 	if got := at(2*time.Second, 0, 2, 100); got != nil {
-		t.Errorf("after a restart of the engine: %v", got)
+		t.Errorf("after a restart of the engine: %v, want nil", got)
 	}
-	if got := p.Since(begin.Add(2500*time.Millisecond), distribution.Requester{Group: "g0"}, 2, []uint64{50, 200}); got != nil {
-		t.Errorf("after a restart that has counted past the start before: %v", got)
+	if got := d.Since(start.Add(2500*time.Millisecond), distribution.Requester{Group: "g0"}, 2, []uint64{50, 200}); got != nil {
+		t.Errorf("after a restart, with counts above those before it: %v, want nil", got)
 	}
 	if got := at(10*time.Second, 0, 9, 100); got != nil {
-		t.Errorf("after a long pause: %v", got)
+		t.Errorf("after a long pause: %v, want nil", got)
 	}
-	if got := p.Since(begin.Add(11*time.Second), distribution.Requester{Group: "g1"}, 1, []uint64{9, 200}); got != nil {
-		t.Errorf("in another group: %v", got)
+	if got := d.Since(start.Add(11*time.Second), distribution.Requester{Group: "g1"}, 1, []uint64{9, 200}); got != nil {
+		t.Errorf("first request of another group: %v, want nil", got)
 	}
 }
 
-// TestSharesSurviveTheRounding packs numbers far above a byte.
-func TestSharesSurviveTheRounding(t *testing.T) {
+// Counts are packed into one byte each; the test packs counts far above that.
+func TestPackRoundsLargeCountsWithinHalfAUnit(t *testing.T) {
 	numbers := []uint64{0, 40, 5_000, 100_000, 1_000_000}
 	p := mesh.Pack(numbers)
 	for i, n := range numbers {
 		if off := p.Number(i) - float64(n); off > p.Unit/2 || off < -p.Unit/2 {
-			t.Errorf("%d came as %v", n, p.Number(i))
+			t.Errorf("%d was unpacked as %v, with a unit of %v", n, p.Number(i), p.Unit)
 		}
 	}
 	if small := mesh.Pack([]uint64{3, 0, 255}); small.Number(0) != 3 || small.Number(2) != 255 {
-		t.Errorf("small numbers are not exact: %v", small)
+		t.Errorf("counts that fit into a byte are not exact: %v", small)
 	}
 }
 
-func TestACounterWaitsForAllRanks(t *testing.T) {
+func TestCounterIsCompleteOnceAllRanksReported(t *testing.T) {
 	c := distribution.NewCounter(rebalance.Shape{Ranks: 2, Layers: 2, Experts: 2})
 	if c.Add(0, mesh.Pack([]uint64{1, 2, 3, 4})) || c.Add(0, mesh.Pack([]uint64{1, 0, 0, 0})) {
-		t.Error("one of two ranks is all")
+		t.Error("complete after one of two ranks reported")
 	}
 	if !c.Add(1, nil) {
-		t.Error("a rank that cannot tell is waited for")
+		t.Error("not complete after both ranks reported, one of them without counts")
 	}
 	if got, want := c.SumAndReset(), (rebalance.Load{{2, 2}, {3, 4}}); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, want %v", got, want)
@@ -205,87 +207,86 @@
 	}
 }
 
-func TestAnAgentIsTaughtUntilItKnows(t *testing.T) {
+func TestGroupUpdateIsDueUntilAcknowledged(t *testing.T) {
 	u := distribution.NewGroupUpdate(0)
-	at := func(d time.Duration, epoch orders.Epoch) bool { return u.Due(begin.Add(d), epoch) }
+	at := func(d time.Duration, epoch orders.Epoch) bool { return u.Due(start.Add(d), epoch) }
 	if at(0, 2) {
-		t.Error("an agent is told before it was asked what it knows")
+		t.Error("update due before the agent acknowledged any epoch")
 	}
 	u.Acknowledged(0)
 	if !at(0, 2) || !at(time.Second, 2) {
-		t.Error("an agent that knows nothing is not told")
+		t.Error("no update due, or no repeat, for an agent without the members")
 	}
 	u.Acknowledged(2)
 	if at(2*time.Second, 2) {
-		t.Error("an agent that knows is told again at once")
+		t.Error("update due at once after the agent acknowledged the epoch")
 	}
 	if !at(2*time.Second, 3) {
-		t.Error("a new formation is not told")
+		t.Error("no update due for a new epoch")
 	}
 	u.Acknowledged(3)
 	if !at(time.Minute, 3) {
-		t.Error("an agent that knows is never told again")
+		t.Error("no repeated update due after a minute")
 	}
 	u.Acknowledged(0)
 	if !at(time.Minute, 3) {
-		t.Error("an agent that started again is not told")
+		t.Error("no update due for a restarted agent")
 	}
 }
 
-func TestASumIsWhatAllChose(t *testing.T) {
+func TestCounterAddsSumOfSeveralRanks(t *testing.T) {
 	c := distribution.NewCounter(rebalance.Shape{Ranks: 3, Layers: 1, Experts: 2})
 	if c.AddSum([]int{0, 2}, mesh.Sum([]*mesh.Picked{mesh.Pack([]uint64{1, 300}), nil, mesh.Pack([]uint64{2, 30})})) {
-		t.Error("two of three ranks are all")
+		t.Error("complete after two of three ranks reported")
 	}
 	if !c.AddSum([]int{1}, mesh.Sum(nil)) {
-		t.Error("a part that cannot tell is waited for")
+		t.Error("not complete after all ranks reported, one of them without counts")
 	}
 	if got := c.SumAndReset(); got[0][0] < 2 || got[0][0] > 4 || got[0][1] < 328 || got[0][1] > 332 {
-		t.Errorf("got %v", got)
+		t.Errorf("got %v, want 3 and 330 within the rounding", got)
 	}
 }
 
-// TestFewOfManyBoxesTellAnAgentOfItsGroup: thirty boxes of a hall ask an agent every half a
-// second, each at its own time, after it started.
-func TestFewOfManyBoxesTellAnAgentOfItsGroup(t *testing.T) {
+// Thirty boxes of a hall each query an agent every half second, at different times, after the
+// agent started. Updates from all of them would fill the agent's link.
+func TestGroupUpdateIsSentByFewOfManyBoxes(t *testing.T) {
 	const boxes, every = 30, 500 * time.Millisecond
 	rnd := rand.New(rand.NewPCG(5, 6))
-	var updates []*distribution.GroupUpdate
+	var states []*distribution.GroupUpdate
 	for range boxes {
-		updates = append(updates, distribution.NewGroupUpdate(rnd.Float64()))
+		states = append(states, distribution.NewGroupUpdate(rnd.Float64()))
 	}
-	knows, told, first := orders.Epoch(0), 0, time.Duration(0)
+	acknowledged, sent, first := orders.Epoch(0), 0, time.Duration(0)
 	for tick := range 100 {
 		at := time.Duration(tick) * every / boxes
-		u := updates[tick%boxes]
-		u.Acknowledged(knows)
-		if u.Due(begin.Add(at), 3) {
-			if knows, told = 3, told+1; first == 0 {
+		u := states[tick%boxes]
+		u.Acknowledged(acknowledged)
+		if u.Due(start.Add(at), 3) {
+			if acknowledged, sent = 3, sent+1; first == 0 {
 				first = at
 			}
 		}
 	}
-	if told == 0 || told > 5 || first > time.Second {
-		t.Errorf("%d boxes told it, the first after %v", told, first)
+	if sent == 0 || sent > 5 || first > time.Second {
+		t.Errorf("%d boxes sent an update, the first after %v; want 1 to 5, within a second", sent, first)
 	}
 }
 
-// TestAFewBoxesTellAnAgentSoon: of three boxes that ask an agent, none waits as one of
-// thirty has to.
-func TestAFewBoxesTellAnAgentSoon(t *testing.T) {
+// A box that is one of three querying an agent waits much less than one of thirty.
+func TestGroupUpdateWaitIsShortWithFewBoxes(t *testing.T) {
 	wait := func(boxes int) time.Duration {
 		u := distribution.NewGroupUpdate(1)
 		u.SetBoxes(boxes)
 		u.Acknowledged(1)
-		u.Due(begin, 2)
-		return u.Delay(begin)
+		u.Due(start, 2)
+		return u.Delay(start)
 	}
 	if few, many := wait(3), wait(30); few <= 0 || few > many/8 {
-		t.Errorf("one of three waits for %v, one of thirty for %v", few, many)
+		t.Errorf("one of three boxes waits for %v, one of thirty for %v; want at most an eighth", few, many)
 	}
 	u := distribution.NewGroupUpdate(1)
 	u.Acknowledged(2)
-	if u.Due(begin, 2) || u.Delay(begin) != 0 {
-		t.Error("an agent that knows its group is waited for")
+	if u.Due(start, 2) || u.Delay(start) != 0 {
+		t.Error("update due or delayed for an agent that has the members")
 	}
 }
--- a/node/distribution/forwarders_test.go
+++ b/node/distribution/forwarders_test.go
@@ -7,32 +7,32 @@
 	"clovertrail.dev/node/distribution"
 )
 
-func TestHelpersTakeTurnsUntilTheyFail(t *testing.T) {
-	h := distribution.NewForwarders()
-	if got := h.Next(begin); got != "" {
-		t.Errorf("%q helps before any was named", got)
+func TestForwardersAlternateUntilFailureOrExpiry(t *testing.T) {
+	f := distribution.NewForwarders()
+	if got := f.Next(start); got != "" {
+		t.Errorf("Next returned %q before any address was added", got)
 	}
-	h.Add(begin, []string{"a", "b"})
-	h.Add(begin.Add(10*time.Second), []string{"c"})
+	f.Add(start, []string{"a", "b"})
+	f.Add(start.Add(10*time.Second), []string{"c"})
 	turns := func(now time.Time) map[string]int {
 		m := map[string]int{}
 		for range 6 {
-			m[h.Next(now)]++
+			m[f.Next(now)]++
 		}
 		return m
 	}
-	if got := turns(begin.Add(10 * time.Second)); got["a"] != 2 || got["b"] != 2 || got["c"] != 2 {
-		t.Errorf("turns %v", got)
+	if got := turns(start.Add(10 * time.Second)); got["a"] != 2 || got["b"] != 2 || got["c"] != 2 {
+		t.Errorf("three forwarders: turns %v, want 2 each", got)
 	}
-	h.ReportFailure("b")
-	if got := turns(begin.Add(10 * time.Second)); got["a"] != 3 || got["c"] != 3 {
-		t.Errorf("turns after b failed %v", got)
+	f.ReportFailure("b")
+	if got := turns(start.Add(10 * time.Second)); got["a"] != 3 || got["c"] != 3 {
+		t.Errorf("after b failed: turns %v, want 3 of a and c", got)
 	}
-	if got := turns(begin.Add(20 * time.Second)); got["c"] != 6 {
-		t.Errorf("turns when a has not been named for long %v", got)
+	if got := turns(start.Add(20 * time.Second)); got["c"] != 6 {
+		t.Errorf("after a expired: turns %v, want 6 of c", got)
 	}
-	h.Add(begin.Add(21*time.Second), []string{"b"})
-	if got := turns(begin.Add(21 * time.Second)); got["b"] != 3 {
-		t.Errorf("turns when b was named again %v", got)
+	f.Add(start.Add(21*time.Second), []string{"b"})
+	if got := turns(start.Add(21 * time.Second)); got["b"] != 3 {
+		t.Errorf("after b was added again: turns %v, want 3 of b", got)
 	}
 }
--- a/node/distribution/relays_test.go
+++ b/node/distribution/relays_test.go
@@ -9,8 +9,9 @@
 	"clovertrail.dev/node/distribution"
 )
 
-// spread are ranks that are dealt out over halls in order.
-func spread(ranks, halls int) (members map[int]mesh.Member, all []int) {
+// spreadMembers returns the members of a group whose ranks are spread over data halls in order,
+// and the list of all ranks.
+func spreadMembers(ranks, halls int) (members map[int]mesh.Member, all []int) {
 	members = map[int]mesh.Member{}
 	for r := range ranks {
 		members[r] = mesh.Member{Rank: r, Hall: domain.HallName(fmt.Sprint(r * halls / ranks))}
@@ -19,63 +20,65 @@
 	return members, all
 }
 
-// TestRelaysSpeakForTheirHalls: 96 ranks over five halls, of which rank 3 coordinates.
-func TestRelaysSpeakForTheirHalls(t *testing.T) {
+// The group has 96 ranks in five halls; rank 3 coordinates.
+func TestRelaysAssignEveryRankWithinItsHall(t *testing.T) {
 	const ranks, self = 96, 3
-	members, all := spread(ranks, 5)
+	members, all := spreadMembers(ranks, 5)
 	relays := distribution.NewRelays(self, members)
 	if n := relays.Partitions(); n != 10 {
-		t.Errorf("%d parts", n)
+		t.Errorf("%d partitions, want 10", n)
 	}
-	for name, fit := range map[string]func(int) bool{
-		"all fit":         func(int) bool { return true },
-		"some do not":     func(r int) bool { return r%10 != 4 },
-		"few of one hall": func(r int) bool { return r > 19 || r == 17 },
+	for name, eligible := range map[string]func(int) bool{
+		"all eligible":             func(int) bool { return true },
+		"some not eligible":        func(r int) bool { return r%10 != 4 },
+		"few eligible in one hall": func(r int) bool { return r > 19 || r == 17 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			spoken := map[int]int{}
-			for _, p := range relays.Assign(all, fit) {
-				checkPart(t, members, p, fit)
-				for _, r := range p.Ranks {
-					spoken[r]++
+			calls := map[int]int{}
+			for _, a := range relays.Assign(all, eligible) {
+				checkAssignment(t, members, a, eligible)
+				for _, r := range a.Ranks {
+					calls[r]++
 				}
 			}
-			if len(spoken) != ranks-1 || spoken[self] != 0 {
-				t.Errorf("%d ranks are spoken to, the coordinator itself %d times", len(spoken), spoken[self])
+			if len(calls) != ranks-1 || calls[self] != 0 {
+				t.Errorf("%d ranks are assigned, the coordinator itself %d times; want all others and never the coordinator", len(calls), calls[self])
 			}
 		})
 	}
 	none := relays.Assign([]int{40, 41}, func(int) bool { return false })
 	if len(none) != 1 || none[0].Relay != distribution.NoRelay || len(none[0].Ranks) != 2 {
-		t.Errorf("without a fit agent: %v", none)
+		t.Errorf("without an eligible agent: %v, want one assignment of two ranks without a relay", none)
 	}
 }
 
-// checkPart: a relay is fit, and speaks for a few ranks of its own hall.
-func checkPart(t *testing.T, members map[int]mesh.Member, p distribution.Assignment, fit func(int) bool) {
+// checkAssignment checks that the relay is eligible, and is assigned at most ten ranks, all of
+// its own hall.
+func checkAssignment(t *testing.T, members map[int]mesh.Member, a distribution.Assignment, eligible func(int) bool) {
 	t.Helper()
-	if len(p.Ranks) > 10 {
-		t.Errorf("rank %d speaks for %v", p.Relay, p.Ranks)
+	if len(a.Ranks) > 10 {
+		t.Errorf("relay %d is assigned more than 10 ranks: %v", a.Relay, a.Ranks)
 	}
-	if p.Relay == distribution.NoRelay {
+	if a.Relay == distribution.NoRelay {
 		return
 	}
-	if !fit(p.Relay) {
-		t.Errorf("rank %d speaks for others although it is not fit", p.Relay)
+	if !eligible(a.Relay) {
+		t.Errorf("rank %d is a relay although it is not eligible", a.Relay)
 	}
-	for _, r := range p.Ranks {
-		if members[r].Hall != members[p.Relay].Hall {
-			t.Errorf("rank %d speaks for rank %d of another hall", p.Relay, r)
+	for _, r := range a.Ranks {
+		if members[r].Hall != members[a.Relay].Hall {
+			t.Errorf("relay %d is assigned rank %d of another hall", a.Relay, r)
 		}
 	}
 }
 
-// TestTwoCoordinatorsUseOtherRelays: both may be at work for a moment as a group opens.
-func TestTwoCoordinatorsUseOtherRelays(t *testing.T) {
-	members, _ := spread(20, 1)
-	fit := func(int) bool { return true }
-	one, other := distribution.NewRelays(0, members), distribution.NewRelays(1, members)
-	if x, y := one.Assign([]int{15}, fit), other.Assign([]int{15}, fit); x[0].Relay == y[0].Relay {
-		t.Errorf("both speak through rank %d", x[0].Relay)
+// Two coordinators may be active for a moment as a group opens; together they must not load the
+// same relay.
+func TestRelaysOfTwoCoordinatorsDiffer(t *testing.T) {
+	members, _ := spreadMembers(20, 1)
+	eligible := func(int) bool { return true }
+	first, second := distribution.NewRelays(0, members), distribution.NewRelays(1, members)
+	if x, y := first.Assign([]int{15}, eligible), second.Assign([]int{15}, eligible); x[0].Relay == y[0].Relay {
+		t.Errorf("both coordinators use rank %d as the relay", x[0].Relay)
 	}
 }
