--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -149,7 +149,7 @@
 		return
 	}
 	if q.Epoch > a.epoch || a.members == nil {
-		a.common.Log.Info("group received", "epoch", q.Epoch, "ranks", len(q.Members), "before", a.epoch)
+		a.common.Log.Info("group members received", "epoch", q.Epoch, "ranks", len(q.Members), "before", a.epoch)
 		a.election.MembersReceived(clock.Now())
 	}
 	a.epoch, a.shape = q.Epoch, q.Shape
--- a/node/rank/dispatching.go
+++ b/node/rank/dispatching.go
@@ -258,7 +258,7 @@
 	if e.result == orders.Done {
 		return
 	}
-	g.log("order not done", "rank", e.call.Rank, "order", orders.Name(e.call.Order), "result", e.result, "err", e.err)
+	g.log("order not carried out", "rank", e.call.Rank, "order", orders.Name(e.call.Order), "result", e.result, "err", e.err)
 }
 
 // recordMapReply records whether the agent of a rank received a map. Calls of an earlier epoch
--- a/node/rank/relaying.go
+++ b/node/rank/relaying.go
@@ -121,7 +121,7 @@
 func ForwardToEngines(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.DealCall) (*mesh.DealReply, error) {
 	o := call.Order.Order()
 	if o == nil {
-		return nil, fault.New(fault.BadRequest, "order to forward to %d engines is empty", len(call.Engines))
+		return nil, fault.New(fault.BadRequest, "call to forward an order to %d engines contains no order", len(call.Engines))
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(call.Left, maxForwardTime))
 	defer cancel()
