--- a/node/agent_poller.go
+++ b/node/agent_poller.go
@@ -14,7 +14,7 @@
 	"clovertrail.dev/mapswitch/orders"
 	"clovertrail.dev/membership"
 	"clovertrail.dev/mesh"
-	"clovertrail.dev/node/telling"
+	"clovertrail.dev/node/distribution"
 	"clovertrail.dev/routing"
 )
 
@@ -85,18 +85,18 @@
 
 // poll queries the agent of one target until ctx ends.
 func (p *agentPoller) poll(ctx context.Context, id domain.InstanceID) {
-	update := telling.NewGroupUpdate(rand.Float64())
+	update := distribution.NewGroupUpdate(rand.Float64())
 	pause := agentPollInterval
 	for ctx.Err() == nil {
 		pollers := p.pollers(id)
 		usual := pollInterval(pollers)
-		update.Among(pollers)
+		update.SetBoxes(pollers)
 		if err := p.query(ctx, id, update); err != nil {
 			pause = max(min(pause*2, maxAgentPollPause), usual)
 		} else {
 			pause = usual
 		}
-		if waits := update.Waits(clock.Now()); waits > 0 {
+		if waits := update.Delay(clock.Now()); waits > 0 {
 			pause = min(pause, waits)
 		}
 		clock.SleepUntil(ctx, clock.Now().Add(pause))
@@ -132,7 +132,7 @@
 
 // query queries the target's agent, and sends it the members of its group if the response shows
 // that they are due.
-func (p *agentPoller) query(ctx context.Context, id domain.InstanceID, u *telling.GroupUpdate) error {
+func (p *agentPoller) query(ctx context.Context, id domain.InstanceID, u *distribution.GroupUpdate) error {
 	address, epoch, ok := p.agent(id)
 	if !ok {
 		return nil
@@ -141,7 +141,7 @@
 	if err != nil {
 		if hostUnresponsive(err) {
 			p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.Unreachable(clock.Now(), id) })
-			p.halls.statuses.Missed(id)
+			p.halls.statuses.MarkUnreachable(id)
 		}
 		return err
 	}
@@ -149,7 +149,7 @@
 		p.handleOtherInstance(id, report.Born)
 		return nil
 	}
-	p.halls.statuses.Saw(clock.Now(), id, report)
+	p.halls.statuses.RecordReport(clock.Now(), id, report)
 	p.applyReport(id, report)
 	if report.Leaving {
 		p.entry.fleet.leaves(clock.Now(), id, "agent")
--- a/node/hall_poller.go
+++ b/node/hall_poller.go
@@ -11,7 +11,7 @@
 	"clovertrail.dev/core/domain"
 	"clovertrail.dev/membership"
 	"clovertrail.dev/mesh"
-	"clovertrail.dev/node/telling"
+	"clovertrail.dev/node/distribution"
 	"clovertrail.dev/routing"
 )
 
@@ -33,7 +33,7 @@
 // Lock order: mu, then the fleet's.
 type hallPoller struct {
 	entry    *Entry
-	statuses *telling.Sightings
+	statuses *distribution.TargetStatuses
 
 	mu           sync.Mutex
 	reporters    *membership.HallReporters
@@ -46,7 +46,7 @@
 
 func newHallPoller(e *Entry) *hallPoller {
 	return &hallPoller{
-		entry: e, statuses: telling.NewSightings(),
+		entry: e, statuses: distribution.NewTargetStatuses(),
 		reporters: membership.NewHallReporters(domain.HallName(e.settings().Hall)), halls: map[domain.HallName]bool{},
 	}
 }
@@ -239,7 +239,7 @@
 			at := now.Add(-x.Ago)
 			target, _ := ros.Get(x.ID)
 			p.reporters.Received(target.Hall(), x.ID, at)
-			p.statuses.Receive(at, x)
+			p.statuses.RecordFromPeer(at, x)
 			own := domain.Rank{Epoch: uint64(x.Epoch), Open: x.Open}
 			if ros.Reported(at, x.ID, own, uint64(x.Step), x.Running > 0) {
 				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Slowdown: float64(x.Pace)})
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -11,60 +11,61 @@
 	"clovertrail.dev/experts/rebalance"
 	"clovertrail.dev/mapswitch/orders"
 	"clovertrail.dev/mesh"
+	"clovertrail.dev/node/distribution"
 	"clovertrail.dev/node/process"
-	"clovertrail.dev/node/telling"
 	"clovertrail.dev/platform"
 	"clovertrail.dev/telemetry"
 )
 
-// The times of an agent.
+// Intervals and timeouts of an agent.
 const (
-	// readEvery is the time between two looks at the own engine: a few steps.
-	readEvery = 100 * time.Millisecond
-	// engineWithin bounds a call to the own engine, which answers in milliseconds.
-	engineWithin = 300 * time.Millisecond
+	// readInterval is the time between two reads of the own engine: a few steps.
+	readInterval = 100 * time.Millisecond
+	// engineTimeout bounds a call to the own engine, which responds within milliseconds.
+	engineTimeout = 300 * time.Millisecond
 )
 
-// Agent is the process beside a model engine. It reads the engine, gives it the
-// orders that other ranks' agents hand it, and may coordinate its group.
+// Agent runs beside a model engine. It reads the engine, passes on to it the orders that it
+// receives from other ranks' agents, and may coordinate its group.
 //
-// Lock order: mu is the only lock, and no I/O is done under it.
+// Lock order: mu is the only lock, and no I/O is done while it is held.
 type Agent struct {
 	common   telemetry.Common
 	network  process.Network
-	settings func() process.AgentSettings // as they are now
+	settings func() process.AgentSettings // returns the current settings
 	engine   *platform.Engine
 	http     *http.Client
 	mesh     *mesh.Client
 
-	mu      sync.Mutex
-	report  platform.Report
-	readAt  time.Time
-	members map[int]mesh.Member // of the own group, by rank
-	epoch   orders.Epoch        // of the members
-	shape   *rebalance.Shape
-	helpers *telling.Helpers // processes that hand orders on
-	turn    *orders.Election // whether this rank is to coordinate
-	picks   *telling.Picks
-	maps    *telling.Placements
-	lost    bool // the engine does not answer
+	mu           sync.Mutex
+	report       platform.Report     // last report of the engine
+	readAt       time.Time           // when report was read
+	members      map[int]mesh.Member // own group, by rank
+	epoch        orders.Epoch        // the epoch for which members were received
+	shape        *rebalance.Shape
+	forwarders   *distribution.Forwarders
+	election     *orders.Election // decides whether this rank coordinates
+	countDeltas  *distribution.CountDeltas
+	receivedMaps *distribution.ReceivedMaps
+	engineLost   bool // the last read of the engine failed
 }
 
-// NewAgent returns the process. now gives its settings as they are now.
-func NewAgent(c telemetry.Common, n process.Network, now func() process.AgentSettings) *Agent {
-	s := now()
+// NewAgent returns an agent that is not running yet. The function settings returns the
+// current settings.
+func NewAgent(c telemetry.Common, n process.Network, settings func() process.AgentSettings) *Agent {
+	s := settings()
 	client := process.HTTPClient(n)
 	return &Agent{
-		common: c, network: n, settings: now, http: client,
-		engine: platform.NewEngine(s.Engine, client),
-		mesh:   mesh.NewClient(n.Dial),
-		turn:   orders.NewElection(clock.Now()), helpers: telling.NewHelpers(),
-		picks: telling.NewPicks(), maps: telling.NewPlacements(),
+		common: c, network: n, settings: settings, http: client,
+		engine:   platform.NewEngine(s.Engine, client),
+		mesh:     mesh.NewClient(n.Dial),
+		election: orders.NewElection(clock.Now()), forwarders: distribution.NewForwarders(),
+		countDeltas: distribution.NewCountDeltas(), receivedMaps: distribution.NewReceivedMaps(),
 	}
 }
 
-// Run serves until leave is closed.
-func (a *Agent) Run(leave <-chan struct{}) error {
+// Run serves until stop is closed.
+func (a *Agent) Run(stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l, err := a.network.Listen(a.settings().Peers)
@@ -77,98 +78,101 @@
 		return err
 	}
 	a.common.Log.Info("started", "hall", a.settings().Hall, "engine", a.settings().Engine, "peers", a.settings().Peers)
-	d := newGroupDuty(a)
+	g := newGroupCoordinator(a)
 	done := make(chan struct{})
 	go func() {
-		d.run(ctx)
+		g.run(ctx)
 		close(done)
 	}()
 	select {
 	case err := <-failed:
 		return err
-	case <-leave:
+	case <-stop:
 	}
-	return a.leave(d, done, cancel)
+	return a.stop(g, done, cancel)
 }
 
-// leave lets an attempt to change maps come to its end, so that the group is not
-// left held.
-func (a *Agent) leave(d *groupDuty, done <-chan struct{}, cancel context.CancelFunc) error {
-	began := clock.Now()
+// stop waits until a map change under way has ended, so that the group is not left held.
+// The wait is bounded by the stop time of the settings.
+func (a *Agent) stop(g *groupCoordinator, done <-chan struct{}, cancel context.CancelFunc) error {
+	startedAt := clock.Now()
 	a.common.Log.Info("leaving")
-	d.stop()
+	g.beginStop()
 	select {
 	case <-done:
 	case <-time.After(a.settings().Bounds.Stop.Std() - process.StopMargin):
-		a.common.Log.Warn("stopped during a change of maps")
+		a.common.Log.Warn("map change did not end within the stop time; stopping during it")
 	}
 	cancel()
-	a.common.Log.Info("stopped", "after", clock.Since(began))
+	a.common.Log.Info("stopped", "after", clock.Since(startedAt))
 	return nil
 }
 
 func (a *Agent) mux() *mesh.Mux {
 	m := mesh.NewMux()
-	mesh.Handle(m, mesh.Watch, a.watch)
-	mesh.Handle(m, mesh.Read, a.read)
-	mesh.Handle(m, mesh.Command, a.command)
-	mesh.Handle(m, mesh.Gather, a.gather)
-	mesh.Handle(m, mesh.Deal, a.deal)
+	mesh.Handle(m, mesh.Watch, a.handleWatch)
+	mesh.Handle(m, mesh.Read, a.handleRead)
+	mesh.Handle(m, mesh.Command, a.handleCommand)
+	mesh.Handle(m, mesh.Gather, a.handleGather)
+	mesh.Handle(m, mesh.Deal, a.handleDeal)
 	return m
 }
 
-// watch answers an entry box.
-func (a *Agent) watch(ctx context.Context, q *mesh.WatchQuery) (*mesh.RankReport, error) {
+// handleWatch serves an entry box: it records the members of the group, if the query
+// contains them, and returns the state of the engine.
+func (a *Agent) handleWatch(ctx context.Context, q *mesh.WatchQuery) (*mesh.RankReport, error) {
 	if len(q.Members) > 0 {
-		a.learn(q)
+		a.updateMembers(q)
 	}
-	r, err := a.look(ctx, readEvery)
+	r, err := a.engineReport(ctx, readInterval)
 	if err != nil {
 		return nil, err
 	}
-	out := reportOf(r)
-	out.Knows = a.knows()
+	out := rankReport(r)
+	out.Knows = a.memberEpoch()
 	return out, nil
 }
 
-// knows is the epoch for which the group's members are known.
-func (a *Agent) knows() orders.Epoch {
+// memberEpoch returns the epoch for which the members of the group were received.
+func (a *Agent) memberEpoch() orders.Epoch {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.epoch
 }
 
-// learn takes who the other ranks are.
-func (a *Agent) learn(q *mesh.WatchQuery) {
+// updateMembers stores the members and the shape of the group, unless they belong to an
+// earlier epoch.
+func (a *Agent) updateMembers(q *mesh.WatchQuery) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if q.Epoch < a.epoch {
 		return
 	}
 	if q.Epoch > a.epoch || a.members == nil {
-		a.common.Log.Info("group received", "epoch", q.Epoch, "ranks", len(q.Members), "before", a.epoch)
-		a.turn.MembersReceived(clock.Now())
+		a.common.Log.Info("group members received", "epoch", q.Epoch, "ranks", len(q.Members), "before", a.epoch)
+		a.election.MembersReceived(clock.Now())
 	}
 	a.epoch, a.shape = q.Epoch, q.Shape
-	a.helpers.Learn(clock.Now(), q.Helpers)
+	a.forwarders.Add(clock.Now(), q.Helpers)
 	a.members = make(map[int]mesh.Member, len(q.Members))
 	for _, m := range q.Members {
 		a.members[m.Rank] = m
 	}
 }
 
-// look gives the state of the engine, read at the most so long ago.
-func (a *Agent) look(ctx context.Context, age time.Duration) (platform.Report, error) {
+// engineReport returns the last report of the engine if it is younger than maxAge, and reads
+// the engine otherwise.
+func (a *Agent) engineReport(ctx context.Context, maxAge time.Duration) (platform.Report, error) {
 	a.mu.Lock()
 	r, at := a.report, a.readAt
 	a.mu.Unlock()
-	if clock.Since(at) < age {
+	if clock.Since(at) < maxAge {
 		return r, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, engineWithin)
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	r, err := a.engine.Report(ctx)
-	a.noteEngine(err)
+	a.recordEngineState(err)
 	if err != nil {
 		return r, err
 	}
@@ -180,56 +184,56 @@
 	if before := a.report; before.Rank.Epoch != r.Rank.Epoch || before.Rank.Open != r.Rank.Open {
 		a.common.Log.Info("group changed", "group", r.Rank.Group, "rank", r.Rank.Number, "epoch", r.Rank.Epoch, "open", r.Rank.Open,
 			"epoch_before", before.Rank.Epoch, "open_before", before.Rank.Open, "step", r.State.Step)
-		a.turn.GroupStateChanged(clock.Now())
+		a.election.GroupStateChanged(clock.Now())
 	}
 	a.report, a.readAt = r, clock.Now()
 	return r, nil
 }
 
-// noteEngine logs when the engine is lost or answers again.
-func (a *Agent) noteEngine(err error) {
+// recordEngineState logs when the engine stops responding and when it responds again.
+func (a *Agent) recordEngineState(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if lost := err != nil; lost != a.lost {
-		a.lost = lost
+	if lost := err != nil; lost != a.engineLost {
+		a.engineLost = lost
 		if lost {
-			a.common.Log.Warn("engine lost", "engine", a.settings().Engine, "err", err)
+			a.common.Log.Warn("engine did not respond; reading it again", "engine", a.settings().Engine, "err", err)
 		} else {
-			a.common.Log.Info("engine answers again", "engine", a.settings().Engine)
+			a.common.Log.Info("engine responds again", "engine", a.settings().Engine)
 		}
 	}
 }
 
-func reportOf(r platform.Report) *mesh.RankReport {
+func rankReport(r platform.Report) *mesh.RankReport {
 	return &mesh.RankReport{
 		Born: r.Born, Group: r.Rank.Group, Rank: r.Rank.Number, Size: r.Rank.Size, State: r.State,
 		Running: r.Running, Waiting: r.Waiting, Pace: r.Pace, Leaving: r.Leaving,
 	}
 }
 
-// read answers the coordinator of the group.
-func (a *Agent) read(ctx context.Context, q *mesh.ReadQuery) (*mesh.RankReport, error) {
+// handleRead serves the coordinator of the group.
+func (a *Agent) handleRead(ctx context.Context, q *mesh.ReadQuery) (*mesh.RankReport, error) {
 	a.mu.Lock()
-	a.turn.ReadBy(clock.Now(), q.From)
+	a.election.ReadBy(clock.Now(), q.From)
 	a.mu.Unlock()
 	return a.readOwn(ctx, q)
 }
 
-// readOwn reads the own engine as a coordinator wants it.
+// readOwn reads the own engine, with the counts and the experts that the coordinator requests.
 func (a *Agent) readOwn(ctx context.Context, q *mesh.ReadQuery) (*mesh.RankReport, error) {
-	ctx, cancel := context.WithTimeout(ctx, engineWithin)
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
-	r, err := a.look(ctx, 0)
+	r, err := a.engineReport(ctx, 0)
 	if err != nil {
 		return nil, err
 	}
-	out := reportOf(r)
+	out := rankReport(r)
 	if q.Picked {
 		born, counts, err := a.engine.Counts(ctx)
 		if err != nil {
 			return nil, err
 		}
-		out.Picked = a.picks.Since(clock.Now(), telling.Asker{Group: r.Rank.Group, Rank: q.From}, born, counts)
+		out.Picked = a.countDeltas.Since(clock.Now(), distribution.Requester{Group: r.Rank.Group, Rank: q.From}, born, counts)
 	}
 	if q.Holds {
 		version, holds, err := a.engine.Holds(ctx)
@@ -241,59 +245,60 @@
 	return out, nil
 }
 
-// engineAt is the engine of another rank, for when its agent does not answer.
+// engineAt returns a client of another rank's engine, for use while that rank's agent does
+// not respond.
 func (a *Agent) engineAt(m mesh.Member) *platform.Engine { return platform.NewEngine(m.Target, a.http) }
 
-// readFar reads another rank's engine itself, without its counts. What it reports is a
-// little old; the orders that follow are not given on its report alone.
-func (a *Agent) readFar(ctx context.Context, m mesh.Member) (*mesh.RankReport, error) {
+// readEngine reads another rank's engine directly, without its counts. The report of an engine
+// is slightly old, so no order is sent on the strength of that report alone.
+func (a *Agent) readEngine(ctx context.Context, m mesh.Member) (*mesh.RankReport, error) {
 	r, err := a.engineAt(m).Report(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return reportOf(r), nil
+	return rankReport(r), nil
 }
 
-// command gives an order to the engine, or to another that the call names.
-func (a *Agent) command(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
-	if err := a.maps.Whole(c); err != nil {
+// handleCommand sends an order to the own engine, or to another engine if the call names one.
+func (a *Agent) handleCommand(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
+	if err := a.receivedMaps.Expand(c); err != nil {
 		return nil, err
 	}
 	o := c.Order()
 	if o == nil {
-		return nil, fault.New(fault.BadRequest, "a call without an order")
+		return nil, fault.New(fault.BadRequest, "command without an order")
 	}
 	if c.Engine != "" {
-		return HandOn(ctx, a.common, a.http, c)
+		return ForwardOrder(ctx, a.common, a.http, c)
 	}
-	res, err := a.give(ctx, a.engine, orders.Call{Epoch: c.Epoch, Fence: c.Fence, Order: o})
+	res, err := a.sendToEngine(ctx, a.engine, orders.Call{Epoch: c.Epoch, Fence: c.Fence, Order: o})
 	if err != nil {
 		return nil, err
 	}
 	return &mesh.OrderReply{Result: res}, nil
 }
 
-// give gives an order to an engine.
-func (a *Agent) give(ctx context.Context, e *platform.Engine, c orders.Call) (orders.Result, error) {
-	return giveOrder(ctx, a.common, e, c)
+func (a *Agent) sendToEngine(ctx context.Context, e *platform.Engine, c orders.Call) (orders.Result, error) {
+	return issueOrder(ctx, a.common, e, c)
 }
 
-// leads reports whether this rank is to coordinate.
+// leads reports whether this rank is to coordinate the group now.
 func (a *Agent) leads(now time.Time, rank int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.turn.Leads(now, rank)
+	return a.election.Leads(now, rank)
 }
 
-// membersIn are the ranks of the group in the epoch; false if they are not known.
+// membersIn returns the ranks of the group in the epoch; false if they were not received.
 func (a *Agent) membersIn(e orders.Epoch) (map[int]mesh.Member, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.members, a.epoch == e && len(a.members) > 0
 }
 
-// group gives what is known of the group in the epoch; false if that is not enough.
-func (a *Agent) group(e orders.Epoch, size int) (map[int]mesh.Member, rebalance.Shape, bool) {
+// groupIn returns the members and the shape of the group in the epoch; false unless the shape
+// and all members were received.
+func (a *Agent) groupIn(e orders.Epoch, size int) (map[int]mesh.Member, rebalance.Shape, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.epoch != e || a.shape == nil || len(a.members) != size {
