--- a/mesh/fuzz_test.go
+++ b/mesh/fuzz_test.go
@@ -20,7 +20,7 @@
 		&mesh.Advert{Self: mesh.Contact{Box: "b"}, FailureReports: []mesh.FailureReport{{Target: "t", By: "b", Ago: 5}}, Works: []mesh.WorkObservation{{Digest: "d", Target: "t", Ago: 5}}, Limits: []mesh.LimitReport{{Target: "t", Ago: 5}}},
 		&mesh.PermitQuery{Service: "s", Wants: []mesh.LimitReport{{Target: "t", Ago: 5}}},
 		&mesh.PermitReply{Issuer: true, Target: "t", Permits: 2, Turns: []mesh.PermitTurn{{Target: "u", In: 5}}},
-		&mesh.Pulled{At: pos(3), Targets: []mesh.TargetNews{{ID: "t", At: pos(2), Target: &domain.TargetFields{ID: "t"}}}},
+		&mesh.PullReply{At: pos(3), Targets: []mesh.TargetUpdate{{ID: "t", At: pos(2), Target: &domain.TargetFields{ID: "t"}}}},
 		&mesh.RankReport{Group: "g", Size: 2, Picked: mesh.Pack([]uint64{3, 1000})},
 		&mesh.Gathered{Ranks: []mesh.RankStatus{{Rank: 1, Held: &hold}}, Picked: mesh.Pack([]uint64{1})},
 		&mesh.HallReport{Targets: []mesh.Sighting{{ID: "t"}}},
@@ -33,9 +33,9 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var pulled mesh.Pulled
+		var pulled mesh.PullReply
 		if cbor.Unmarshal(raw, &pulled) == nil {
-			news, err := pulled.News()
+			news, err := pulled.TargetUpdates()
 			for _, n := range news {
 				if err == nil && n.Target != nil && n.Target.Address() == "" {
 					t.Errorf("%x: a target without an address", raw)
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -57,7 +57,7 @@
 		a.Hall += "!"
 		return a, nil
 	})
-	mesh.Handle(m, mesh.Pull, func(context.Context, *mesh.PullQuery) (*mesh.Pulled, error) {
+	mesh.Handle(m, mesh.Pull, func(context.Context, *mesh.PullQuery) (*mesh.PullReply, error) {
 		return nil, errors.New("no")
 	})
 	address, client := serve(t, m), newClient(t)
@@ -67,7 +67,7 @@
 			t.Fatalf("got %+v, %v", got, err)
 		}
 	}
-	if _, err := mesh.Call[mesh.PullQuery, mesh.Pulled](within(t), client, address, mesh.Pull, &mesh.PullQuery{}); err == nil {
+	if _, err := mesh.Call[mesh.PullQuery, mesh.PullReply](within(t), client, address, mesh.Pull, &mesh.PullQuery{}); err == nil {
 		t.Error("the handler's error was lost")
 	}
 	if _, err := mesh.Call[mesh.ReadQuery, mesh.RankReport](within(t), client, address, mesh.Read, &mesh.ReadQuery{}); err == nil {
@@ -109,13 +109,13 @@
 		t.Fatal(err)
 	}
 	news := []membership.TargetUpdate{{ID: "i-1", At: pos(9), Target: &target}, {ID: "i-2", At: pos(10)}}
-	p := &mesh.Pulled{At: pos(10), Targets: mesh.ListOf(news)}
-	back, err := p.News()
+	p := &mesh.PullReply{At: pos(10), Targets: mesh.NewTargetUpdates(news)}
+	back, err := p.TargetUpdates()
 	if err != nil || !reflect.DeepEqual(back, news) {
 		t.Errorf("got %+v, %v", back, err)
 	}
 	p.Targets[0].Target.Address = ""
-	if _, err := p.News(); err == nil {
+	if _, err := p.TargetUpdates(); err == nil {
 		t.Error("a target without an address was taken")
 	}
 }
--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -111,25 +111,25 @@
 	Raw []byte         `json:"raw"`
 }
 
-// TargetNews is a line of a list of targets.
-type TargetNews struct {
+// TargetUpdate is a line of a list of targets.
+type TargetUpdate struct {
 	ID     domain.InstanceID    `json:"id"`
 	At     store.Position       `json:"at"`
 	Target *domain.TargetFields `json:"target,omitempty"` // nil if it is gone
 }
 
-// Pulled is what is newer than what the asker has.
-type Pulled struct {
+// PullReply is what is newer than what the asker has.
+type PullReply struct {
 	Config  *Document      `json:"config,omitempty"`
 	At      store.Position `json:"at"` // of the targets; zero if the asker has them all
-	Targets []TargetNews   `json:"targets,omitempty"`
+	Targets []TargetUpdate   `json:"targets,omitempty"`
 }
 
-// ListOf turns news into a message.
-func ListOf(news []membership.TargetUpdate) []TargetNews {
-	list := make([]TargetNews, 0, len(news))
+// NewTargetUpdates turns news into a message.
+func NewTargetUpdates(news []membership.TargetUpdate) []TargetUpdate {
+	list := make([]TargetUpdate, 0, len(news))
 	for _, n := range news {
-		t := TargetNews{ID: n.ID, At: n.At}
+		t := TargetUpdate{ID: n.ID, At: n.At}
 		if n.Target != nil {
 			f := n.Target.Fields()
 			t.Target = &f
@@ -139,8 +139,8 @@
 	return list
 }
 
-// News checks and gives back what ListOf took.
-func (p *Pulled) News() ([]membership.TargetUpdate, error) {
+// TargetUpdates checks and gives back what ListOf took.
+func (p *PullReply) TargetUpdates() ([]membership.TargetUpdate, error) {
 	list := make([]membership.TargetUpdate, 0, len(p.Targets))
 	for _, t := range p.Targets {
 		n := membership.TargetUpdate{ID: t.ID, At: t.At}
--- a/node/peering.go
+++ b/node/peering.go
@@ -267,7 +267,7 @@
 	ctx, cancel := context.WithTimeout(ctx, meetWithin)
 	defer cancel()
 	q := &mesh.PullQuery{Config: own.Config, Targets: own.Targets}
-	got, err := mesh.Call[mesh.PullQuery, mesh.Pulled](ctx, p.entry.mesh, c.Address, mesh.Pull, q)
+	got, err := mesh.Call[mesh.PullQuery, mesh.PullReply](ctx, p.entry.mesh, c.Address, mesh.Pull, q)
 	if err != nil {
 		p.entry.common.Log.Warn("pull from peer failed, asking again", "peer", c.Box, "err", err)
 		p.notify()
@@ -280,7 +280,7 @@
 	if got.At.IsZero() {
 		return
 	}
-	news, err := got.News()
+	news, err := got.TargetUpdates()
 	if err != nil {
 		p.entry.common.Log.Error("list of targets from peer rejected", "peer", c.Box, "err", err)
 		return
@@ -289,14 +289,14 @@
 }
 
 // pull implements mesh.Pull.
-func (p *peering) pull(_ context.Context, q *mesh.PullQuery) (*mesh.Pulled, error) {
-	out := &mesh.Pulled{}
+func (p *peering) pull(_ context.Context, q *mesh.PullQuery) (*mesh.PullReply, error) {
+	out := &mesh.PullReply{}
 	if raw, edition := p.entry.view.document(); edition.After(q.Config) {
 		out.Config = &mesh.Document{At: edition.At, Raw: raw}
 	}
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		if r.Newest().After(q.Targets) {
-			out.At, out.Targets = r.Newest(), mesh.ListOf(r.All())
+			out.At, out.Targets = r.Newest(), mesh.NewTargetUpdates(r.All())
 		}
 	})
 	return out, nil
