--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -43,8 +43,8 @@
 	Address string       `json:"address"`
 	// Incarnation numbers the starts of its process; the later one counts.
 	Incarnation domain.Incarnation `json:"incarnation"`
-	// Ago is how long before the message it was last heard.
-	Ago time.Duration `json:"ago"`
+	// Age is how long before the message it was last heard.
+	Age time.Duration `json:"ago"`
 	// Hall is where it stands, if that is known; an advert tells its sender's apart.
 	Hall domain.HallName `json:"hall,omitempty"`
 }
@@ -87,7 +87,7 @@
 	_      struct{} `cbor:",toarray"`
 	Digest call.Digest
 	Target domain.InstanceID // empty where the work was served
-	Ago    time.Duration
+	Age    time.Duration
 }
 
 // FailureReport is that a target let a box down so long before the message. There may be a
@@ -96,7 +96,7 @@
 	_      struct{} `cbor:",toarray"`
 	Target domain.InstanceID
 	By     domain.BoxID
-	Ago    time.Duration
+	Age    time.Duration
 }
 
 // PullQuery reports what the asker has.
@@ -122,7 +122,7 @@
 type PullReply struct {
 	Config  *Document      `json:"config,omitempty"`
 	At      store.Position `json:"at"` // of the targets; zero if the asker has them all
-	Targets []TargetUpdate   `json:"targets,omitempty"`
+	Targets []TargetUpdate `json:"targets,omitempty"`
 }
 
 // NewTargetUpdates turns news into a message.
@@ -175,8 +175,8 @@
 type Sighting struct {
 	_  struct{} `cbor:",toarray"`
 	ID domain.InstanceID
-	// Ago is how long before the message the target was heard.
-	Ago              time.Duration
+	// Age is how long before the message the target was heard.
+	Age              time.Duration
 	Epoch            orders.Epoch
 	Open             bool
 	Step             orders.Step
--- a/mesh/permits.go
+++ b/mesh/permits.go
@@ -15,12 +15,12 @@
 	Target domain.InstanceID
 	// PerSecond is missing where the target reports that it has no limit any more.
 	PerSecond *float64
-	Ago       time.Duration
+	Age       time.Duration
 }
 
 // LimitReportOf turns a report into a message that is sent now.
 func LimitReportOf(now time.Time, w ratelimit.Report) LimitReport {
-	out := LimitReport{Target: w.Target, Ago: now.Sub(w.At)}
+	out := LimitReport{Target: w.Target, Age: now.Sub(w.At)}
 	if l, limited := w.Limit.(call.Limited); limited {
 		out.PerSecond = &l.PerSecond
 	}
@@ -29,13 +29,13 @@
 
 // Report is the report in a message that came now; false for one that no target can have made.
 func (w LimitReport) Report(now time.Time) (ratelimit.Report, bool) {
-	out := ratelimit.Report{Target: w.Target, Limit: call.Unlimited{}, At: now.Add(-w.Ago)}
+	out := ratelimit.Report{Target: w.Target, Limit: call.Unlimited{}, At: now.Add(-w.Age)}
 	if w.PerSecond == nil {
-		return out, w.Ago >= 0
+		return out, w.Age >= 0
 	}
 	l, ok := call.NewLimited(*w.PerSecond)
 	out.Limit = l
-	return out, ok && w.Ago >= 0
+	return out, ok && w.Age >= 0
 }
 
 // ShareReport is how a box shares limits with the others. It goes with every advert while there are
--- a/mesh/permits_test.go
+++ b/mesh/permits_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("%v is taken as %+v", n, w)
 		}
 	}
-	if _, ok := (mesh.LimitReport{Target: "t", Ago: -time.Second}).Report(time.Unix(1000, 0)); ok {
+	if _, ok := (mesh.LimitReport{Target: "t", Age: -time.Second}).Report(time.Unix(1000, 0)); ok {
 		t.Error("a word that is yet to be said is taken")
 	}
 }
--- a/node/adverts.go
+++ b/node/adverts.go
@@ -55,7 +55,7 @@
 }
 
 func contactOf(c membership.Contact, ago time.Duration) mesh.Contact {
-	return mesh.Contact{Box: c.Box, Address: c.Address, Incarnation: c.Incarnation, Ago: ago, Hall: c.Hall}
+	return mesh.Contact{Box: c.Box, Address: c.Address, Incarnation: c.Incarnation, Age: ago, Hall: c.Hall}
 }
 
 func contactFrom(c mesh.Contact) membership.Contact {
@@ -75,7 +75,7 @@
 	var list []mesh.FailureReport
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		for _, c := range r.FailureReports(now) {
-			list = append(list, mesh.FailureReport{Target: c.Target, By: c.By, Ago: now.Sub(c.At)})
+			list = append(list, mesh.FailureReport{Target: c.Target, By: c.By, Age: now.Sub(c.At)})
 		}
 	})
 	return list
@@ -88,7 +88,7 @@
 	}
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		for _, c := range list {
-			if r.ReceiveFailureReport(now, membership.FailureReport{Target: c.Target, By: c.By, At: now.Add(-c.Ago)}) {
+			if r.ReceiveFailureReport(now, membership.FailureReport{Target: c.Target, By: c.By, At: now.Add(-c.Age)}) {
 				p.entry.fleet.ejected(c.Target)
 			}
 		}
@@ -144,7 +144,7 @@
 	p.boxes.Receive(now, contactFrom(a.Self), a.Hall, membership.StoreProgress{Config: a.Config, Targets: a.Targets}, a.Leaving)
 	p.boxes.ReceiveShareReport(a.Self.Box, shareFrom(a.Share))
 	for _, c := range a.Known {
-		p.boxes.ReceiveIndirect(now, contactFrom(c), c.Ago)
+		p.boxes.ReceiveIndirect(now, contactFrom(c), c.Age)
 	}
 	p.noteBehind(now, own)
 }
--- a/node/quarantining.go
+++ b/node/quarantining.go
@@ -122,7 +122,7 @@
 // receive takes what another box sent.
 func (q *quarantining) receive(now time.Time, observations []mesh.WorkObservation, source string) {
 	for _, w := range observations {
-		q.take(now, quarantine.Observation{Digest: w.Digest, Target: w.Target, At: now.Add(-w.Ago)}, source)
+		q.take(now, quarantine.Observation{Digest: w.Digest, Target: w.Target, At: now.Add(-w.Age)}, source)
 	}
 }
 
@@ -132,7 +132,7 @@
 	defer q.mu.Unlock()
 	var list []mesh.WorkObservation
 	for _, w := range q.register.Latest(now, all) {
-		list = append(list, mesh.WorkObservation{Digest: w.Digest, Target: w.Target, Ago: now.Sub(w.At)})
+		list = append(list, mesh.WorkObservation{Digest: w.Digest, Target: w.Target, Age: now.Sub(w.At)})
 	}
 	return list
 }
--- a/node/surveying.go
+++ b/node/surveying.go
@@ -228,7 +228,7 @@
 	}
 	s.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
 		for _, x := range r.Targets {
-			at := now.Add(-x.Ago)
+			at := now.Add(-x.Age)
 			target, _ := ros.Get(x.ID)
 			s.outlook.Received(target.Hall(), x.ID, at)
 			s.sightings.Receive(at, x)
--- a/node/telling/sightings.go
+++ b/node/telling/sightings.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		w := x.word
-		w.Ago, w.Missing = ago, x.missing
+		w.Age, w.Missing = ago, x.missing
 		out.Targets = append(out.Targets, w)
 	}
 	return out
