--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -104,7 +104,7 @@
 	far := store.PositionOf(3, 90_000)
 	a := &mesh.Advert{Self: mesh.Contact{Box: "entry-hall-0", Address: "10.1.0.40:7340", Incarnation: domain.Incarnation(begin.UnixNano())}, Hall: "hall-1", Config: catalog.Edition{Version: 90_000, At: far}, Targets: far}
 	for c, ago := range b.PeersToAdvertise(begin.Add(membership.NewFor), 16, 2) {
-		a.Known = append(a.Known, mesh.Contact{Box: c.Box, Address: c.Address, Incarnation: c.Incarnation, Age: ago})
+		a.Peers = append(a.Peers, mesh.Contact{Box: c.Box, Address: c.Address, Incarnation: c.Incarnation, Age: ago})
 	}
 	return bytesOf(a)
 }
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -53,7 +53,7 @@
 
 func TestCalls(t *testing.T) {
 	m := mesh.NewMux()
-	mesh.Handle(m, mesh.Meet, func(_ context.Context, a *mesh.Advert) (*mesh.Advert, error) {
+	mesh.Handle(m, mesh.ExchangeAdverts, func(_ context.Context, a *mesh.Advert) (*mesh.Advert, error) {
 		a.Hall += "!"
 		return a, nil
 	})
@@ -62,7 +62,7 @@
 	})
 	address, client := serve(t, m), newClient(t)
 	for range 3 { // over a kept connection too
-		got, err := mesh.Call[mesh.Advert, mesh.Advert](within(t), client, address, mesh.Meet, &mesh.Advert{Hall: "near", Config: catalog.Edition{Version: 7, At: pos(8)}})
+		got, err := mesh.Call[mesh.Advert, mesh.Advert](within(t), client, address, mesh.ExchangeAdverts, &mesh.Advert{Hall: "near", Config: catalog.Edition{Version: 7, At: pos(8)}})
 		if err != nil || got.Hall != "near!" || got.Config != (catalog.Edition{Version: 7, At: pos(8)}) {
 			t.Fatalf("got %+v, %v", got, err)
 		}
@@ -73,7 +73,7 @@
 	if _, err := mesh.Call[mesh.ReadQuery, mesh.RankReport](within(t), client, address, mesh.Read, &mesh.ReadQuery{}); err == nil {
 		t.Error("a call without a handler was answered")
 	}
-	if _, err := mesh.Call[mesh.Advert, mesh.Advert](within(t), client, address, mesh.Meet, &mesh.Advert{}); err != nil {
+	if _, err := mesh.Call[mesh.Advert, mesh.Advert](within(t), client, address, mesh.ExchangeAdverts, &mesh.Advert{}); err != nil {
 		t.Errorf("after errors: %v", err)
 	}
 }
--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -14,8 +14,8 @@
 
 // The calls between processes.
 const (
-	// Meet is made by entry boxes to each other: Advert for Advert.
-	Meet Method = "/entry/meet"
+	// ExchangeAdverts is made by entry boxes to each other: Advert for Advert.
+	ExchangeAdverts Method = "/entry/meet"
 	// Pull asks an entry box for news: PullQuery for Pulled.
 	Pull Method = "/entry/pull"
 	// Survey asks an entry box of another data hall how the targets there do: HallQuery
@@ -58,27 +58,27 @@
 	// of a target that it knows.
 	Config  catalog.Edition `json:"config"`
 	Targets store.Position  `json:"targets"`
-	// Remembered is the incarnation under which the sender of an answer knew the asker
+	// LatestIncarnation is the incarnation under which the sender of an answer knew the asker
 	// before, so that one that started again can come after it.
-	Remembered domain.Incarnation `json:"remembered,omitempty"`
-	// News reports that it is sent because something changed, and names no other boxes; nor
+	LatestIncarnation domain.Incarnation `json:"remembered,omitempty"`
+	// UpdateOnly reports that it is sent because something changed, and names no other boxes; nor
 	// does its answer.
-	News bool `json:"news,omitempty"`
-	// Known are other boxes that it has learned of lately.
-	Known []Contact `json:"known,omitempty"`
+	UpdateOnly bool `json:"news,omitempty"`
+	// Peers are other boxes that it has learned of lately.
+	Peers []Contact `json:"known,omitempty"`
 	// FailureReports are those that count, of any box.
 	FailureReports []FailureReport `json:"failures,omitempty"`
-	// Leavers are targets that lately said, with an answer, that they are leaving.
-	Leavers []domain.InstanceID `json:"leavers,omitempty"`
-	// Works are what is known of works under which targets ended.
-	Works []WorkObservation `json:"works,omitempty"`
+	// LeavingTargets are targets that lately said, with an answer, that they are leaving.
+	LeavingTargets []domain.InstanceID `json:"leavers,omitempty"`
+	// WorkObservations are what is known of works under which targets ended.
+	WorkObservations []WorkObservation `json:"works,omitempty"`
 	// Limits are what targets said of their limits.
 	Limits []LimitReport `json:"limits,omitempty"`
 	// Share is how the sender shares limits; missing while it knows none.
 	Share *ShareReport `json:"share,omitempty"`
-	// Blank reports that the sender has just started and was sent no limits yet, so that the answer
+	// NeedsAllLimits reports that the sender has just started and was sent no limits yet, so that the answer
 	// is to name all, and has a share.
-	Blank bool `json:"blank,omitempty"`
+	NeedsAllLimits bool `json:"blank,omitempty"`
 }
 
 // WorkObservation is that a target ended under a work, or that the work was served, so long before
--- a/node/adverts.go
+++ b/node/adverts.go
@@ -33,9 +33,9 @@
 	defer p.mu.Unlock()
 	a := &mesh.Advert{
 		Self: contactOf(p.self, 0), Hall: domain.HallName(p.entry.settings().Hall), Leaving: p.entry.gateway.Stopping(),
-		Config: own.Config, Targets: own.Targets, News: news,
-		FailureReports: failureReports, Leavers: leavers, Works: works,
-		Limits: limits, Blank: !p.briefed,
+		Config: own.Config, Targets: own.Targets, UpdateOnly: news,
+		FailureReports: failureReports, LeavingTargets: leavers, WorkObservations: works,
+		Limits: limits, NeedsAllLimits: !p.briefed,
 	}
 	if limited {
 		a.Share = p.share(now, apart)
@@ -44,7 +44,7 @@
 		return a
 	}
 	for c, ago := range p.boxes.PeersToAdvertise(now, passOnMost, passOnFew) {
-		a.Known = append(a.Known, contactOf(c, ago))
+		a.Peers = append(a.Peers, contactOf(c, ago))
 	}
 	return a
 }
@@ -109,9 +109,9 @@
 	before := p.boxes.LatestIncarnation(a.Self.Box)
 	p.mu.Unlock()
 	p.receive(a)
-	reply := p.advert(a.News, false)
-	reply.Remembered = before
-	if a.Blank {
+	reply := p.advert(a.UpdateOnly, false)
+	reply.LatestIncarnation = before
+	if a.NeedsAllLimits {
 		p.brief(reply)
 	}
 	return reply, nil
@@ -134,16 +134,16 @@
 	p.entry.timeline.observe(store.Later(a.Targets, a.Config.At), "peer "+string(a.Self.Box))
 	own := p.level()
 	p.takeFailureReports(now, a.FailureReports)
-	for _, id := range a.Leavers {
+	for _, id := range a.LeavingTargets {
 		p.entry.fleet.leaves(now, id, "peer "+string(a.Self.Box))
 	}
-	p.entry.quarantine.receive(now, a.Works, "peer "+string(a.Self.Box))
+	p.entry.quarantine.receive(now, a.WorkObservations, "peer "+string(a.Self.Box))
 	p.entry.limiting.receive(now, a.Limits, "peer "+string(a.Self.Box))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.boxes.Receive(now, contactFrom(a.Self), a.Hall, membership.StoreProgress{Config: a.Config, Targets: a.Targets}, a.Leaving)
 	p.boxes.ReceiveShareReport(a.Self.Box, shareFrom(a.Share))
-	for _, c := range a.Known {
+	for _, c := range a.Peers {
 		p.boxes.ReceiveIndirect(now, contactFrom(c), c.Age)
 	}
 	p.noteBehind(now, own)
--- a/node/peering.go
+++ b/node/peering.go
@@ -125,7 +125,7 @@
 // serve answers other boxes at the addresses of the settings.
 func (p *peering) serve(ctx context.Context, failed chan<- error) error {
 	mux := mesh.NewMux()
-	mesh.Handle(mux, mesh.Meet, p.meet)
+	mesh.Handle(mux, mesh.ExchangeAdverts, p.meet)
 	mesh.Handle(mux, mesh.Pull, p.pull)
 	mesh.Handle(mux, mesh.Survey, p.entry.surveying.survey)
 	mesh.Handle(mux, mesh.Permit, p.entry.limiting.permit)
@@ -213,9 +213,9 @@
 func (p *peering) call(ctx context.Context, address string, news, all bool) {
 	ctx, cancel := context.WithTimeout(ctx, meetWithin)
 	defer cancel()
-	reply, err := mesh.Call[mesh.Advert, mesh.Advert](ctx, p.entry.mesh, address, mesh.Meet, p.advert(news, all))
+	reply, err := mesh.Call[mesh.Advert, mesh.Advert](ctx, p.entry.mesh, address, mesh.ExchangeAdverts, p.advert(news, all))
 	if err == nil {
-		p.outlive(reply.Remembered)
+		p.outlive(reply.LatestIncarnation)
 		p.receive(reply)
 		p.noteBriefed(reply)
 	}
