--- a/mesh/fuzz_test.go
+++ b/mesh/fuzz_test.go
@@ -23,7 +23,7 @@
 		&mesh.PullReply{At: pos(3), Targets: []mesh.TargetUpdate{{ID: "t", At: pos(2), Target: &domain.TargetFields{ID: "t"}}}},
 		&mesh.RankReport{Group: "g", Size: 2, Picked: mesh.Pack([]uint64{3, 1000})},
 		&mesh.Gathered{Ranks: []mesh.RankStatus{{Rank: 1, Held: &hold}}, Picked: mesh.Pack([]uint64{1})},
-		&mesh.HallReport{Targets: []mesh.Sighting{{ID: "t"}}},
+		&mesh.HallReport{Targets: []mesh.TargetStatus{{ID: "t"}}},
 		mesh.CallOf(orders.Call{Order: orders.Hold{Step: 4}}),
 	} {
 		raw, err := cbor.Marshal(m)
--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -18,9 +18,9 @@
 	ExchangeAdverts Method = "/entry/meet"
 	// Pull asks an entry box for news: PullQuery for Pulled.
 	Pull Method = "/entry/pull"
-	// Survey asks an entry box of another data hall how the targets there do: HallQuery
+	// QueryHall asks an entry box of another data hall how the targets there do: HallQuery
 	// for HallReport.
-	Survey Method = "/entry/survey"
+	QueryHall Method = "/entry/survey"
 	// Permit asks the issuer of a service for permits: PermitQuery for PermitReply.
 	Permit Method = "/entry/permit"
 	// Watch is made by entry boxes to agents: WatchQuery for RankReport.
@@ -164,15 +164,15 @@
 
 // HallReport is what an entry box learned of targets.
 type HallReport struct {
-	// Follows reports that this box follows the store, which answers it, and will report what
+	// FollowsStore reports that this box follows the store, which answers it, and will report what
 	// changes there.
-	Follows bool       `json:"follows,omitempty"`
-	Targets []Sighting `json:"targets"`
+	FollowsStore bool           `json:"follows,omitempty"`
+	Targets      []TargetStatus `json:"targets"`
 }
 
-// Sighting is the last report of a target. It goes between data halls for
+// TargetStatus is the last report of a target. It goes between data halls for
 // each target several times a second, so it is written without names of fields.
-type Sighting struct {
+type TargetStatus struct {
 	_  struct{} `cbor:",toarray"`
 	ID domain.InstanceID
 	// Age is how long before the message the target was heard.
@@ -182,8 +182,8 @@
 	Step             orders.Step
 	Running, Waiting int
 	Pace             float32
-	// Missing reports that nothing came back from its box since.
-	Missing bool
+	// BoxUnresponsive reports that nothing came back from its box since.
+	BoxUnresponsive bool
 }
 
 // Member is a rank of a group, as entry boxes know it. A message has up to a hundred, so
--- a/node/peering.go
+++ b/node/peering.go
@@ -127,7 +127,7 @@
 	mux := mesh.NewMux()
 	mesh.Handle(mux, mesh.ExchangeAdverts, p.meet)
 	mesh.Handle(mux, mesh.Pull, p.pull)
-	mesh.Handle(mux, mesh.Survey, p.entry.surveying.survey)
+	mesh.Handle(mux, mesh.QueryHall, p.entry.surveying.survey)
 	mesh.Handle(mux, mesh.Permit, p.entry.limiting.permit)
 	mesh.Handle(mux, mesh.Command, p.entry.command)
 	mesh.Handle(mux, mesh.Deal, p.entry.deal)
--- a/node/surveying.go
+++ b/node/surveying.go
@@ -54,7 +54,7 @@
 	r := s.sightings.Latest(clock.Now(), q.All)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.Follows = s.role != membership.Follower && s.storeWell != nil && s.storeWell()
+	r.FollowsStore = s.role != membership.Follower && s.storeWell != nil && s.storeWell()
 	return r, nil
 }
 
@@ -195,7 +195,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, surveyWithin)
 	defer cancel()
-	report, err := mesh.Call[mesh.HallQuery, mesh.HallReport](ctx, s.entry.mesh, box.Address, mesh.Survey,
+	report, err := mesh.Call[mesh.HallQuery, mesh.HallReport](ctx, s.entry.mesh, box.Address, mesh.QueryHall,
 		&mesh.HallQuery{All: hall == s.hall()})
 	if err != nil {
 		s.failed(hall, box.Box, err)
@@ -222,7 +222,7 @@
 	}
 	if hall == s.hall() {
 		s.hubAt = time.Time{}
-		if r.Follows {
+		if r.FollowsStore {
 			s.hubAt = now
 		}
 	}
@@ -236,7 +236,7 @@
 			if ros.Reported(at, x.ID, own, uint64(x.Step), x.Running > 0) {
 				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Slowdown: float64(x.Pace)})
 			}
-			if x.Missing {
+			if x.BoxUnresponsive {
 				ros.PeerUnreachable(now, x.ID, at)
 			}
 		}
--- a/node/telling/sightings.go
+++ b/node/telling/sightings.go
@@ -24,7 +24,7 @@
 
 type sighting struct {
 	at      time.Time
-	word    mesh.Sighting
+	word    mesh.TargetStatus
 	missing bool // nothing came back from its box the last time
 	told    bool // another box heard it
 }
@@ -36,18 +36,18 @@
 func (s *Sightings) Saw(now time.Time, id domain.InstanceID, r *mesh.RankReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen[id] = sighting{at: now, word: mesh.Sighting{
+	s.seen[id] = sighting{at: now, word: mesh.TargetStatus{
 		ID: id, Epoch: r.State.Epoch, Open: r.State.Open, Step: r.State.Step,
 		Running: r.Running, Waiting: r.Waiting, Pace: float32(r.Pace),
 	}}
 }
 
 // Receive takes what another box learned of a target at the time.
-func (s *Sightings) Receive(at time.Time, w mesh.Sighting) {
+func (s *Sightings) Receive(at time.Time, w mesh.TargetStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if x, ok := s.seen[w.ID]; !ok || at.After(x.at) || at.Equal(x.at) && w.Missing {
-		s.seen[w.ID] = sighting{at: at, word: w, missing: w.Missing, told: true}
+	if x, ok := s.seen[w.ID]; !ok || at.After(x.at) || at.Equal(x.at) && w.BoxUnresponsive {
+		s.seen[w.ID] = sighting{at: at, word: w, missing: w.BoxUnresponsive, told: true}
 	}
 }
 
@@ -77,7 +77,7 @@
 			continue
 		}
 		w := x.word
-		w.Age, w.Missing = ago, x.missing
+		w.Age, w.BoxUnresponsive = ago, x.missing
 		out.Targets = append(out.Targets, w)
 	}
 	return out
