--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -181,7 +181,7 @@
 	Open             bool
 	Step             orders.Step
 	Running, Waiting int
-	Pace             float32
+	Slowdown         float32
 	// BoxUnresponsive reports that nothing came back from its box since.
 	BoxUnresponsive bool
 }
@@ -211,14 +211,14 @@
 // RankReport is how a rank does.
 type RankReport struct {
 	// Born is when the engine's process started; 0 if it does not say.
-	Born    domain.Born      `json:"born,omitempty"`
-	Group   domain.GroupName `json:"group"`
-	Rank    int              `json:"rank"`
-	Size    int              `json:"size"`
-	State   orders.State     `json:"state"`
-	Running int              `json:"running"`
-	Waiting int              `json:"waiting"`
-	Pace    float64          `json:"pace"`
+	Born     domain.Born      `json:"born,omitempty"`
+	Group    domain.GroupName `json:"group"`
+	Rank     int              `json:"rank"`
+	Size     int              `json:"size"`
+	State    orders.State     `json:"state"`
+	Running  int              `json:"running"`
+	Waiting  int              `json:"waiting"`
+	Slowdown float64          `json:"pace"`
 	// Leaving reports whether the engine announces that it is leaving.
 	Leaving bool `json:"leaving,omitempty"`
 	// Picked is how often each expert was chosen by this rank's requests since the
--- a/mesh/relayed.go
+++ b/mesh/relayed.go
@@ -36,7 +36,7 @@
 	ArmedVersion  orders.Version // 0 while none is armed
 	ArmedStep     orders.Step
 	Held          *orders.Step
-	Pace          float32
+	Slowdown      float32
 	Holds         [][]int // the map in use, by layer; only where it was asked for
 }
 
@@ -45,7 +45,7 @@
 	s := r.State
 	w := RankStatus{
 		Rank: rank, Open: s.Open, Epoch: s.Epoch, Step: s.Step, Map: s.Map, Prepared: s.Prepared,
-		Held: s.Held, Pace: float32(r.Pace), Holds: r.Holds,
+		Held: s.Held, Slowdown: float32(r.Slowdown), Holds: r.Holds,
 	}
 	if s.Armed != nil {
 		w.ArmedVersion, w.ArmedStep = s.Armed.Version, s.Armed.Step
@@ -59,7 +59,7 @@
 	if w.ArmedVersion != 0 {
 		s.Armed = &orders.Armed{Version: w.ArmedVersion, Step: w.ArmedStep}
 	}
-	return &RankReport{Rank: w.Rank, State: s, Pace: float64(w.Pace), Holds: w.Holds}
+	return &RankReport{Rank: w.Rank, State: s, Slowdown: float64(w.Slowdown), Holds: w.Holds}
 }
 
 // DealCall is one order for many engines. Either Ranks are named, of the group of the
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -203,7 +203,7 @@
 func reportOf(r platform.Report) *mesh.RankReport {
 	return &mesh.RankReport{
 		Born: r.Born, Group: r.Rank.Group, Rank: r.Rank.Number, Size: r.Rank.Size, State: r.State,
-		Running: r.Running, Waiting: r.Waiting, Pace: r.Pace, Leaving: r.Leaving,
+		Running: r.Running, Waiting: r.Waiting, Slowdown: r.Pace, Leaving: r.Leaving,
 	}
 }
 
--- a/node/rank/reading.go
+++ b/node/rank/reading.go
@@ -166,7 +166,7 @@
 	if !d.coord.Observe(now, rank, r.State) {
 		return false
 	}
-	d.tookPace(rank, r.Pace)
+	d.tookPace(rank, r.Slowdown)
 	if r.Holds != nil {
 		d.tookHolds(rank, r)
 	}
--- a/node/surveying.go
+++ b/node/surveying.go
@@ -234,7 +234,7 @@
 			s.sightings.Receive(at, x)
 			own := domain.Rank{Epoch: uint64(x.Epoch), Open: x.Open}
 			if ros.Reported(at, x.ID, own, uint64(x.Step), x.Running > 0) {
-				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Slowdown: float64(x.Pace)})
+				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Slowdown: float64(x.Slowdown)})
 			}
 			if x.BoxUnresponsive {
 				ros.PeerUnreachable(now, x.ID, at)
--- a/node/telling/sightings.go
+++ b/node/telling/sightings.go
@@ -38,7 +38,7 @@
 	defer s.mu.Unlock()
 	s.seen[id] = sighting{at: now, word: mesh.TargetStatus{
 		ID: id, Epoch: r.State.Epoch, Open: r.State.Open, Step: r.State.Step,
-		Running: r.Running, Waiting: r.Waiting, Pace: float32(r.Pace),
+		Running: r.Running, Waiting: r.Waiting, Slowdown: float32(r.Slowdown),
 	}}
 }
 
--- a/node/watching.go
+++ b/node/watching.go
@@ -273,6 +273,6 @@
 	own := domain.Rank{Group: r.Group, Epoch: uint64(r.State.Epoch), Number: r.Rank, Size: r.Size, Open: r.State.Open}
 	w.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
 		ros.Reported(now, id, own, uint64(r.State.Step), r.Running > 0)
-		b.Report(now, id, routing.Report{Running: r.Running, Waiting: r.Waiting, Slowdown: r.Pace})
+		b.Report(now, id, routing.Report{Running: r.Running, Waiting: r.Waiting, Slowdown: r.Slowdown})
 	})
 }
