--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -126,7 +126,7 @@
 	for i := range numbers {
 		numbers[i] = uint64(i % 200)
 	}
-	return bytesOf(mesh.Pack(numbers))
+	return bytesOf(mesh.NewExpertCounts(numbers))
 }
 
 func wholeMap(size int) float64 {
--- a/mesh/fuzz_test.go
+++ b/mesh/fuzz_test.go
@@ -21,8 +21,8 @@
 		&mesh.PermitQuery{Service: "s", Wants: []mesh.LimitReport{{Target: "t", Age: 5}}},
 		&mesh.PermitReply{Issuer: true, Target: "t", Permits: 2, Turns: []mesh.PermitTurn{{Target: "u", In: 5}}},
 		&mesh.PullReply{At: pos(3), Targets: []mesh.TargetUpdate{{ID: "t", At: pos(2), Target: &domain.TargetFields{ID: "t"}}}},
-		&mesh.RankReport{Group: "g", Size: 2, Picked: mesh.Pack([]uint64{3, 1000})},
-		&mesh.Gathered{Ranks: []mesh.RankStatus{{Rank: 1, Held: &hold}}, Picked: mesh.Pack([]uint64{1})},
+		&mesh.RankReport{Group: "g", Size: 2, ExpertCounts: mesh.NewExpertCounts([]uint64{3, 1000})},
+		&mesh.Gathered{Ranks: []mesh.RankStatus{{Rank: 1, Held: &hold}}, ExpertCounts: mesh.NewExpertCounts([]uint64{1})},
 		&mesh.HallReport{Targets: []mesh.TargetStatus{{ID: "t"}}},
 		mesh.CallOf(orders.Call{Order: orders.Hold{Step: 4}}),
 	} {
@@ -43,8 +43,8 @@
 			}
 		}
 		var report mesh.RankReport
-		if cbor.Unmarshal(raw, &report) == nil && report.Picked != nil {
-			mesh.Sum([]*mesh.Picked{report.Picked, nil, mesh.Pack([]uint64{1, 2})})
+		if cbor.Unmarshal(raw, &report) == nil && report.ExpertCounts != nil {
+			mesh.SumExpertCounts([]*mesh.ExpertCounts{report.ExpertCounts, nil, mesh.NewExpertCounts([]uint64{1, 2})})
 		}
 		var word mesh.RankStatus
 		if cbor.Unmarshal(raw, &word) == nil {
--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -221,23 +221,23 @@
 	Slowdown float64          `json:"pace"`
 	// Leaving reports whether the engine announces that it is leaving.
 	Leaving bool `json:"leaving,omitempty"`
-	// Picked is how often each expert was chosen by this rank's requests since the
+	// ExpertCounts is how often each expert was chosen by this rank's requests since the
 	// asker asked last; only where Read asks, and missing if that is not known.
-	Picked *Picked `json:"picked,omitempty"`
+	ExpertCounts *ExpertCounts `json:"picked,omitempty"`
 	// Knows is the epoch for which the agent knows who is in its group; only in answers
 	// to Watch.
 	Knows orders.Epoch `json:"knows,omitempty"`
-	// Holds are the experts of the map in use, by layer; only where Read asks.
-	Holds [][]int `json:"holds,omitempty"`
+	// Experts are the experts of the map in use, by layer; only where Read asks.
+	Experts [][]int `json:"holds,omitempty"`
 }
 
 // ReadQuery asks for the state of a rank.
 type ReadQuery struct {
 	// From is the rank that asks.
 	From int `json:"from"`
-	// Picked asks for what was chosen, Holds for the map in use.
-	Picked bool `json:"picked,omitempty"`
-	Holds  bool `json:"holds,omitempty"`
+	// WantExpertCounts asks for what was chosen, Holds for the map in use.
+	WantExpertCounts bool `json:"picked,omitempty"`
+	WantExperts      bool `json:"holds,omitempty"`
 }
 
 // OrderCall is an order for an engine. Exactly one of the orders is set.
--- a/mesh/relayed.go
+++ b/mesh/relayed.go
@@ -19,9 +19,9 @@
 // Gathered is what the ranks reported that answered.
 type Gathered struct {
 	Ranks []RankStatus `json:"ranks"`
-	// Picked is what these ranks chose together since the asker asked last; missing if
+	// ExpertCounts is what these ranks chose together since the asker asked last; missing if
 	// none could tell.
-	Picked *Picked `json:"picked,omitempty"`
+	ExpertCounts *ExpertCounts `json:"picked,omitempty"`
 }
 
 // RankStatus is what a rank reports about itself, without names of fields, since there are
@@ -37,7 +37,7 @@
 	ArmedStep     orders.Step
 	Held          *orders.Step
 	Slowdown      float32
-	Holds         [][]int // the map in use, by layer; only where it was asked for
+	Experts       [][]int // the map in use, by layer; only where it was asked for
 }
 
 // WordOf shortens a report for a message that has many.
@@ -45,7 +45,7 @@
 	s := r.State
 	w := RankStatus{
 		Rank: rank, Open: s.Open, Epoch: s.Epoch, Step: s.Step, Map: s.Map, Prepared: s.Prepared,
-		Held: s.Held, Slowdown: float32(r.Slowdown), Holds: r.Holds,
+		Held: s.Held, Slowdown: float32(r.Slowdown), Experts: r.Experts,
 	}
 	if s.Armed != nil {
 		w.ArmedVersion, w.ArmedStep = s.Armed.Version, s.Armed.Step
@@ -59,7 +59,7 @@
 	if w.ArmedVersion != 0 {
 		s.Armed = &orders.Armed{Version: w.ArmedVersion, Step: w.ArmedStep}
 	}
-	return &RankReport{Rank: w.Rank, State: s, Slowdown: float64(w.Slowdown), Holds: w.Holds}
+	return &RankReport{Rank: w.Rank, State: s, Slowdown: float64(w.Slowdown), Experts: w.Experts}
 }
 
 // DealCall is one order for many engines. Either Ranks are named, of the group of the
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -224,19 +224,19 @@
 		return nil, err
 	}
 	out := reportOf(r)
-	if q.Picked {
+	if q.WantExpertCounts {
 		born, counts, err := a.engine.Counts(ctx)
 		if err != nil {
 			return nil, err
 		}
-		out.Picked = a.picks.Since(clock.Now(), telling.Asker{Group: r.Rank.Group, Rank: q.From}, born, counts)
+		out.ExpertCounts = a.picks.Since(clock.Now(), telling.Asker{Group: r.Rank.Group, Rank: q.From}, born, counts)
 	}
-	if q.Holds {
+	if q.WantExperts {
 		version, holds, err := a.engine.Holds(ctx)
 		if err != nil {
 			return nil, err
 		}
-		out.State.Map, out.Holds = version, holds
+		out.State.Map, out.Experts = version, holds
 	}
 	return out, nil
 }
--- a/node/rank/planning.go
+++ b/node/rank/planning.go
@@ -47,7 +47,7 @@
 	if v := report.State.Map; v != d.holdsOf {
 		d.holds, d.holdsOf = map[int][][]int{}, v
 	}
-	d.holds[rank] = report.Holds
+	d.holds[rank] = report.Experts
 	if _, known := d.coord.Current(); known || len(d.holds) < d.size {
 		return
 	}
--- a/node/rank/reading.go
+++ b/node/rank/reading.go
@@ -31,7 +31,7 @@
 	if picked {
 		d.pickedAt = clock.Now()
 	}
-	q := mesh.ReadQuery{From: d.rank, Picked: picked, Holds: !known}
+	q := mesh.ReadQuery{From: d.rank, WantExpertCounts: picked, WantExperts: !known}
 	var relayed []int
 	for r, m := range d.members {
 		if d.reading[r] || !wanted(r) {
@@ -61,11 +61,11 @@
 	for _, p := range d.relays.Through(ranks, d.relayed) {
 		if p.Relay == telling.NoRelay {
 			for _, r := range p.Ranks {
-				go d.readRank(ctx, r, d.members[r], &q, readDone{rank: r, epoch: e, picked: q.Picked, began: clock.Now()})
+				go d.readRank(ctx, r, d.members[r], &q, readDone{rank: r, epoch: e, picked: q.WantExpertCounts, began: clock.Now()})
 			}
 			continue
 		}
-		done := gatherDone{part: p, epoch: e, picked: q.Picked, began: clock.Now()}
+		done := gatherDone{part: p, epoch: e, picked: q.WantExpertCounts, began: clock.Now()}
 		go d.gather(ctx, d.members[p.Relay], &mesh.GatherQuery{Epoch: e, Ranks: p.Ranks, Read: q}, done)
 	}
 }
@@ -104,7 +104,7 @@
 	if !d.observe(now, e.rank, e.report) {
 		return
 	}
-	if e.picked && d.counts.Add(e.rank, e.report.Picked) {
+	if e.picked && d.counts.Add(e.rank, e.report.ExpertCounts) {
 		d.counted()
 	}
 	d.planIfDue(now)
@@ -138,7 +138,7 @@
 			d.noteRead(r, errNotRelayed)
 		}
 	}
-	if e.picked && d.counts.AddSum(ranks, e.report.Picked) {
+	if e.picked && d.counts.AddSum(ranks, e.report.ExpertCounts) {
 		d.counted()
 	}
 	d.planIfDue(now)
@@ -167,7 +167,7 @@
 		return false
 	}
 	d.tookPace(rank, r.Slowdown)
-	if r.Holds != nil {
+	if r.Experts != nil {
 		d.tookHolds(rank, r)
 	}
 	return true
--- a/node/rank/relaying.go
+++ b/node/rank/relaying.go
@@ -58,14 +58,14 @@
 
 func gathered(ranks []int, reports []*mesh.RankReport) *mesh.Gathered {
 	out := &mesh.Gathered{}
-	var picked []*mesh.Picked
+	var picked []*mesh.ExpertCounts
 	for i, r := range reports {
 		if r != nil {
 			out.Ranks = append(out.Ranks, mesh.WordOf(ranks[i], r))
-			picked = append(picked, r.Picked)
+			picked = append(picked, r.ExpertCounts)
 		}
 	}
-	out.Picked = mesh.Sum(picked)
+	out.ExpertCounts = mesh.SumExpertCounts(picked)
 	return out
 }
 
--- a/node/telling/counter.go
+++ b/node/telling/counter.go
@@ -29,16 +29,16 @@
 
 // Add takes what a rank chose, or nil if that could not be had, and reports whether
 // all ranks have reported since the last take.
-func (c *Counter) Add(rank int, p *mesh.Picked) bool { return c.AddSum([]int{rank}, p) }
+func (c *Counter) Add(rank int, p *mesh.ExpertCounts) bool { return c.AddSum([]int{rank}, p) }
 
 // AddSum takes what several ranks chose together, as Add does for one.
-func (c *Counter) AddSum(ranks []int, p *mesh.Picked) bool {
+func (c *Counter) AddSum(ranks []int, p *mesh.ExpertCounts) bool {
 	for _, r := range ranks {
 		c.fresh[r] = true
 	}
-	if p != nil && len(p.Steps) == c.shape.Layers*c.shape.Experts {
-		for i := range p.Steps {
-			c.sum[i/c.shape.Experts][i%c.shape.Experts] += p.Number(i)
+	if p != nil && len(p.Quantized) == c.shape.Layers*c.shape.Experts {
+		for i := range p.Quantized {
+			c.sum[i/c.shape.Experts][i%c.shape.Experts] += p.Count(i)
 		}
 	}
 	return len(c.fresh) == c.shape.Ranks
--- a/node/telling/picks.go
+++ b/node/telling/picks.go
@@ -40,7 +40,7 @@
 // Since gives what was chosen since the asker had the counts last; nil if that is
 // not known. An engine that started again counts from zero; its counts may have grown past
 // those of the start before, and then only its birth shows it.
-func (p *Picks) Since(now time.Time, asker Asker, born domain.Born, counts []uint64) *mesh.Picked {
+func (p *Picks) Since(now time.Time, asker Asker, born domain.Born, counts []uint64) *mesh.ExpertCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.last[asker.Group] == nil {
@@ -59,5 +59,5 @@
 		}
 		fresh[i] = n - before.counts[i]
 	}
-	return mesh.Pack(fresh)
+	return mesh.NewExpertCounts(fresh)
 }
--- a/node/telling/telling_test.go
+++ b/node/telling/telling_test.go
@@ -148,13 +148,13 @@
 
 func TestWhatWasChosenIsToldSinceTheLastTime(t *testing.T) {
 	p := telling.NewPicks()
-	at := func(d time.Duration, asker int, counts ...uint64) *mesh.Picked {
+	at := func(d time.Duration, asker int, counts ...uint64) *mesh.ExpertCounts {
 		return p.Since(begin.Add(d), telling.Asker{Group: "g0", Rank: asker}, 1, counts)
 	}
 	if got := at(0, 0, 10, 100); got != nil {
 		t.Errorf("the first time: %v", got)
 	}
-	if got := at(time.Second, 0, 15, 100); got.Number(0) != 5 || got.Number(1) != 0 {
+	if got := at(time.Second, 0, 15, 100); got.Count(0) != 5 || got.Count(1) != 0 {
 		t.Errorf("the second time: %v", got)
 	}
 	if got := at(time.Second, 7, 15, 100); got != nil {
@@ -177,20 +177,20 @@
 // TestSharesSurviveTheRounding packs numbers far above a byte.
 func TestSharesSurviveTheRounding(t *testing.T) {
 	numbers := []uint64{0, 40, 5_000, 100_000, 1_000_000}
-	p := mesh.Pack(numbers)
+	p := mesh.NewExpertCounts(numbers)
 	for i, n := range numbers {
-		if off := p.Number(i) - float64(n); off > p.Unit/2 || off < -p.Unit/2 {
-			t.Errorf("%d came as %v", n, p.Number(i))
+		if off := p.Count(i) - float64(n); off > p.Unit/2 || off < -p.Unit/2 {
+			t.Errorf("%d came as %v", n, p.Count(i))
 		}
 	}
-	if small := mesh.Pack([]uint64{3, 0, 255}); small.Number(0) != 3 || small.Number(2) != 255 {
+	if small := mesh.NewExpertCounts([]uint64{3, 0, 255}); small.Count(0) != 3 || small.Count(2) != 255 {
 		t.Errorf("small numbers are not exact: %v", small)
 	}
 }
 
 func TestACounterWaitsForAllRanks(t *testing.T) {
 	c := telling.NewCounter(rebalance.Shape{Ranks: 2, Layers: 2, Experts: 2})
-	if c.Add(0, mesh.Pack([]uint64{1, 2, 3, 4})) || c.Add(0, mesh.Pack([]uint64{1, 0, 0, 0})) {
+	if c.Add(0, mesh.NewExpertCounts([]uint64{1, 2, 3, 4})) || c.Add(0, mesh.NewExpertCounts([]uint64{1, 0, 0, 0})) {
 		t.Error("one of two ranks is all")
 	}
 	if !c.Add(1, nil) {
@@ -199,7 +199,7 @@
 	if got, want := c.Take(), (rebalance.Load{{2, 2}, {3, 4}}); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	c.Add(0, mesh.Pack([]uint64{1}))
+	c.Add(0, mesh.NewExpertCounts([]uint64{1}))
 	if c.Add(1, nil); c.Take()[0][0] != 0 {
 		t.Error("counts of another shape were added")
 	}
@@ -234,10 +234,10 @@
 
 func TestASumIsWhatAllChose(t *testing.T) {
 	c := telling.NewCounter(rebalance.Shape{Ranks: 3, Layers: 1, Experts: 2})
-	if c.AddSum([]int{0, 2}, mesh.Sum([]*mesh.Picked{mesh.Pack([]uint64{1, 300}), nil, mesh.Pack([]uint64{2, 30})})) {
+	if c.AddSum([]int{0, 2}, mesh.SumExpertCounts([]*mesh.ExpertCounts{mesh.NewExpertCounts([]uint64{1, 300}), nil, mesh.NewExpertCounts([]uint64{2, 30})})) {
 		t.Error("two of three ranks are all")
 	}
-	if !c.AddSum([]int{1}, mesh.Sum(nil)) {
+	if !c.AddSum([]int{1}, mesh.SumExpertCounts(nil)) {
 		t.Error("a part that cannot tell is waited for")
 	}
 	if got := c.Take(); got[0][0] < 2 || got[0][0] > 4 || got[0][1] < 328 || got[0][1] > 332 {
