--- a/mesh/fuzz_test.go
+++ b/mesh/fuzz_test.go
@@ -55,7 +55,7 @@
 			orders.Describe(order.Order())
 		}
 		checkLimits(t, raw)
-		for _, m := range []any{&mesh.PermitReply{}, &mesh.Advert{}, &mesh.HallReport{}, &mesh.Gathered{}, &mesh.WatchQuery{}, &mesh.DealCall{}} {
+		for _, m := range []any{&mesh.PermitReply{}, &mesh.Advert{}, &mesh.HallReport{}, &mesh.Gathered{}, &mesh.WatchQuery{}, &mesh.FanOutCall{}} {
 			_ = cbor.Unmarshal(raw, m) // refused or read, but never a panic
 		}
 	})
--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -33,8 +33,8 @@
 	// Gather asks an agent to read some ranks of its group for their coordinator:
 	// GatherQuery for Gathered.
 	Gather Method = "/agent/gather"
-	// Deal hands one order to many: DealCall for DealReply.
-	Deal Method = "/agent/deal"
+	// FanOut hands one order to many: DealCall for DealReply.
+	FanOut Method = "/agent/deal"
 )
 
 // Contact is an entry box that can be reached.
--- a/mesh/relayed.go
+++ b/mesh/relayed.go
@@ -62,24 +62,24 @@
 	return &RankReport{Rank: w.Rank, State: s, Slowdown: float64(w.Slowdown), Experts: w.Experts}
 }
 
-// DealCall is one order for many engines. Either Ranks are named, of the group of the
+// FanOutCall is one order for many engines. Either Ranks are named, of the group of the
 // agent that is called, or the addresses of their Engines.
-type DealCall struct {
+type FanOutCall struct {
 	Ranks   []int     `json:"ranks,omitempty"`
 	Engines []string  `json:"engines,omitempty"`
 	Order   OrderCall `json:"order"`
-	// Left is how long the answer is waited for.
-	Left time.Duration `json:"left"`
+	// Timeout is how long the answer is waited for.
+	Timeout time.Duration `json:"left"`
 }
 
-// Dealt is what became of the order at one engine.
-type Dealt struct {
+// FanOutResult is what became of the order at one engine.
+type FanOutResult struct {
 	_           struct{} `cbor:",toarray"`
 	Result      orders.Result
 	UnknownBase bool // the rank's agent does not know the map from which this one was told
 }
 
-// DealReply is what became of the order, in the order of the call's ranks or engines.
-type DealReply struct {
-	Dealt []Dealt `json:"dealt"`
+// FanOutReply is what became of the order, in the order of the call's ranks or engines.
+type FanOutReply struct {
+	Results []FanOutResult `json:"dealt"`
 }
--- a/node/entry.go
+++ b/node/entry.go
@@ -100,7 +100,7 @@
 }
 
 // deal hands an order on to many engines.
-func (e *Entry) deal(ctx context.Context, c *mesh.DealCall) (*mesh.DealReply, error) {
+func (e *Entry) deal(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
 	return rank.DealOut(ctx, e.common, e.engines, c)
 }
 
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -113,7 +113,7 @@
 	mesh.Handle(m, mesh.Read, a.read)
 	mesh.Handle(m, mesh.Command, a.command)
 	mesh.Handle(m, mesh.Gather, a.gather)
-	mesh.Handle(m, mesh.Deal, a.deal)
+	mesh.Handle(m, mesh.FanOut, a.deal)
 	return m
 }
 
--- a/node/rank/giving.go
+++ b/node/rank/giving.go
@@ -135,7 +135,7 @@
 			rest = append(rest, part...)
 			continue
 		}
-		call := &mesh.DealCall{Ranks: p.Ranks, Order: *order, Left: within}
+		call := &mesh.FanOutCall{Ranks: p.Ranks, Order: *order, Timeout: within}
 		go d.deal(ctx, d.members[p.Relay].Agent, call, part, within)
 	}
 	return rest
@@ -151,7 +151,7 @@
 		}
 		batch := calls[:min(helperBatch, len(calls))]
 		calls = calls[len(batch):]
-		call := &mesh.DealCall{Order: *mesh.CallOf(batch[0]), Left: orderWithin}
+		call := &mesh.FanOutCall{Order: *mesh.CallOf(batch[0]), Timeout: orderWithin}
 		for _, c := range batch {
 			call.Engines = append(call.Engines, d.members[c.Rank].Target)
 		}
@@ -163,12 +163,12 @@
 // deal hands an order for many to the process at the address. Whole maps for relays do not
 // wait for each other, as those for single ranks do: there are ten of them, and a relay
 // answers only once all its ranks have, so that two at a time took a second.
-func (d *groupDuty) deal(ctx context.Context, address string, call *mesh.DealCall, calls []orders.Call, within time.Duration) {
+func (d *groupDuty) deal(ctx context.Context, address string, call *mesh.FanOutCall, calls []orders.Call, within time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	reply, err := mesh.Call[mesh.DealCall, mesh.DealReply](ctx, d.agent.mesh, address, mesh.Deal, call)
-	if err == nil && len(reply.Dealt) != len(calls) {
-		err = fault.New(fault.BadRequest, "%d results for %d orders", len(reply.Dealt), len(calls))
+	reply, err := mesh.Call[mesh.FanOutCall, mesh.FanOutReply](ctx, d.agent.mesh, address, mesh.FanOut, call)
+	if err == nil && len(reply.Results) != len(calls) {
+		err = fault.New(fault.BadRequest, "%d results for %d orders", len(reply.Results), len(calls))
 	}
 	if err != nil && len(call.Engines) > 0 {
 		d.agent.helpers.Failed(address)
@@ -177,14 +177,14 @@
 }
 
 // dealt turns an answer for many into what became of each call.
-func dealt(calls []orders.Call, call *mesh.DealCall, reply *mesh.DealReply, err error) dealDone {
+func dealt(calls []orders.Call, call *mesh.FanOutCall, reply *mesh.FanOutReply, err error) dealDone {
 	var all dealDone
 	for i, c := range calls {
 		done := orderDone{call: c, agent: len(call.Ranks) > 0, result: orders.Lost, err: err}
 		if err == nil {
-			done.result = reply.Dealt[i].Result
+			done.result = reply.Results[i].Result
 			switch {
-			case reply.Dealt[i].UnknownBase:
+			case reply.Results[i].UnknownBase:
 				done.err = mesh.UnknownBase(call.Order.Base)
 			case done.result == orders.Lost:
 				done.err = errNotRelayed
--- a/node/rank/relaying.go
+++ b/node/rank/relaying.go
@@ -70,7 +70,7 @@
 }
 
 // deal hands an order to ranks of the own group, or to engines elsewhere.
-func (a *Agent) deal(ctx context.Context, c *mesh.DealCall) (*mesh.DealReply, error) {
+func (a *Agent) deal(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
 	if len(c.Engines) > 0 {
 		return DealOut(ctx, a.common, a.http, c)
 	}
@@ -78,14 +78,14 @@
 	if !ok {
 		return nil, fault.New(fault.BadRequest, "the group's members are not known in epoch %d", c.Order.Epoch)
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.Left)
+	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	reply := &mesh.DealReply{Dealt: make([]mesh.Dealt, len(c.Ranks))}
+	reply := &mesh.FanOutReply{Results: make([]mesh.FanOutResult, len(c.Ranks))}
 	var gives sync.WaitGroup
 	for i, r := range c.Ranks {
-		reply.Dealt[i].Result = orders.Lost
+		reply.Results[i].Result = orders.Lost
 		if m, known := members[r]; known {
-			gives.Go(func() { reply.Dealt[i] = a.dealOne(ctx, m, c.Order) })
+			gives.Go(func() { reply.Results[i] = a.dealOne(ctx, m, c.Order) })
 		}
 	}
 	gives.Wait()
@@ -93,7 +93,7 @@
 }
 
 // dealOne hands the order to one rank, the own or another's.
-func (a *Agent) dealOne(ctx context.Context, m mesh.Member, o mesh.OrderCall) mesh.Dealt {
+func (a *Agent) dealOne(ctx context.Context, m mesh.Member, o mesh.OrderCall) mesh.FanOutResult {
 	var reply *mesh.OrderReply
 	var err error
 	if o.Prepare != nil {
@@ -106,9 +106,9 @@
 		reply, err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, m.Agent, mesh.Command, &o)
 	}
 	if err != nil {
-		return mesh.Dealt{Result: orders.Lost, UnknownBase: mesh.IsUnknownBase(err)}
+		return mesh.FanOutResult{Result: orders.Lost, UnknownBase: mesh.IsUnknownBase(err)}
 	}
-	return mesh.Dealt{Result: reply.Result}
+	return mesh.FanOutResult{Result: reply.Result}
 }
 
 // dealMost bounds how long orders are handed out for another group, whatever its coordinator asks.
@@ -116,14 +116,14 @@
 
 // DealOut gives one order to all engines that the call names, for the coordinator of a
 // group that is not the own.
-func DealOut(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.DealCall) (*mesh.DealReply, error) {
+func DealOut(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.FanOutCall) (*mesh.FanOutReply, error) {
 	o := call.Order.Order()
 	if o == nil {
 		return nil, fault.New(fault.BadRequest, "a call without an order")
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(call.Left, dealMost))
+	ctx, cancel := context.WithTimeout(ctx, min(call.Timeout, dealMost))
 	defer cancel()
-	reply := &mesh.DealReply{Dealt: make([]mesh.Dealt, len(call.Engines))}
+	reply := &mesh.FanOutReply{Results: make([]mesh.FanOutResult, len(call.Engines))}
 	var gives sync.WaitGroup
 	for i, address := range call.Engines {
 		gives.Go(func() {
@@ -133,7 +133,7 @@
 				c.Log.Debug("order not answered", "engine", address, "order", orders.Name(o), "err", err)
 				res = orders.Lost
 			}
-			reply.Dealt[i].Result = res
+			reply.Results[i].Result = res
 		})
 	}
 	gives.Wait()
