--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -137,7 +137,7 @@
 			m[l] = append(m[l], []int{r % 96, (r + 20) % 96, (r + 40) % 96, (r + 60) % 96, (r + 80) % 96})
 		}
 	}
-	return bytesOf(mesh.CallOf(orders.Call{Order: orders.Prepare{Version: 42_000_000_000, Map: m}}))
+	return bytesOf(mesh.NewOrderCall(orders.Call{Order: orders.Prepare{Version: 42_000_000_000, Map: m}}))
 }
 
 func choose(targets int) float64 {
--- a/mesh/fuzz_test.go
+++ b/mesh/fuzz_test.go
@@ -22,9 +22,9 @@
 		&mesh.PermitReply{Issuer: true, Target: "t", Permits: 2, Turns: []mesh.PermitTurn{{Target: "u", In: 5}}},
 		&mesh.PullReply{At: pos(3), Targets: []mesh.TargetUpdate{{ID: "t", At: pos(2), Target: &domain.TargetFields{ID: "t"}}}},
 		&mesh.RankReport{Group: "g", Size: 2, ExpertCounts: mesh.NewExpertCounts([]uint64{3, 1000})},
-		&mesh.Gathered{Ranks: []mesh.RankStatus{{Rank: 1, Held: &hold}}, ExpertCounts: mesh.NewExpertCounts([]uint64{1})},
+		&mesh.GatherReply{Ranks: []mesh.RankStatus{{Rank: 1, Held: &hold}}, ExpertCounts: mesh.NewExpertCounts([]uint64{1})},
 		&mesh.HallReport{Targets: []mesh.TargetStatus{{ID: "t"}}},
-		mesh.CallOf(orders.Call{Order: orders.Hold{Step: 4}}),
+		mesh.NewOrderCall(orders.Call{Order: orders.Hold{Step: 4}}),
 	} {
 		raw, err := cbor.Marshal(m)
 		if err != nil {
@@ -55,7 +55,7 @@
 			orders.Describe(order.Order())
 		}
 		checkLimits(t, raw)
-		for _, m := range []any{&mesh.PermitReply{}, &mesh.Advert{}, &mesh.HallReport{}, &mesh.Gathered{}, &mesh.WatchQuery{}, &mesh.FanOutCall{}} {
+		for _, m := range []any{&mesh.PermitReply{}, &mesh.Advert{}, &mesh.HallReport{}, &mesh.GatherReply{}, &mesh.WatchQuery{}, &mesh.FanOutCall{}} {
 			_ = cbor.Unmarshal(raw, m) // refused or read, but never a panic
 		}
 	})
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -81,7 +81,7 @@
 func TestOrdersGoThroughTheWire(t *testing.T) {
 	m := mesh.NewMux()
 	var got orders.Order
-	mesh.Handle(m, mesh.Command, func(_ context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
+	mesh.Handle(m, mesh.SendOrder, func(_ context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
 		got = c.Order()
 		return &mesh.OrderReply{Result: orders.Refused}, nil
 	})
@@ -90,7 +90,7 @@
 		orders.Prepare{Version: 3, Map: orders.Placement{{{0, 1}, {1}}}}, orders.Arm{Version: 3, Step: 9},
 		orders.Disarm{Version: 3}, orders.Hold{Step: 9}, orders.Release{Step: 9},
 	} {
-		reply, err := mesh.Call[mesh.OrderCall, mesh.OrderReply](within(t), client, address, mesh.Command, mesh.CallOf(orders.Call{Epoch: 2, Order: o}))
+		reply, err := mesh.Call[mesh.OrderCall, mesh.OrderReply](within(t), client, address, mesh.SendOrder, mesh.NewOrderCall(orders.Call{Epoch: 2, Order: o}))
 		if err != nil || reply.Result != orders.Refused || !reflect.DeepEqual(got, o) {
 			t.Errorf("%T arrived as %+v, answered %+v, %v", o, got, reply, err)
 		}
--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -27,9 +27,9 @@
 	Watch Method = "/agent/watch"
 	// Read is made by agents to each other: ReadQuery for RankReport.
 	Read Method = "/agent/read"
-	// Command hands an order to a rank's agent, or to another process that gives it to
+	// SendOrder hands an order to a rank's agent, or to another process that gives it to
 	// the engine named: OrderCall for OrderReply.
-	Command Method = "/agent/order"
+	SendOrder Method = "/agent/order"
 	// Gather asks an agent to read some ranks of its group for their coordinator:
 	// GatherQuery for Gathered.
 	Gather Method = "/agent/gather"
@@ -259,8 +259,8 @@
 	Release *orders.Release `json:"release,omitempty"`
 }
 
-// CallOf wraps an order for the wire.
-func CallOf(c orders.Call) *OrderCall {
+// NewOrderCall wraps an order for the wire.
+func NewOrderCall(c orders.Call) *OrderCall {
 	out := &OrderCall{Epoch: c.Epoch, Fence: c.Fence}
 	switch o := c.Order.(type) {
 	case orders.Prepare:
--- a/mesh/permits.go
+++ b/mesh/permits.go
@@ -18,8 +18,8 @@
 	Age       time.Duration
 }
 
-// LimitReportOf turns a report into a message that is sent now.
-func LimitReportOf(now time.Time, w ratelimit.Report) LimitReport {
+// NewLimitReport turns a report into a message that is sent now.
+func NewLimitReport(now time.Time, w ratelimit.Report) LimitReport {
 	out := LimitReport{Target: w.Target, Age: now.Sub(w.At)}
 	if l, limited := w.Limit.(call.Limited); limited {
 		out.PerSecond = &l.PerSecond
@@ -73,8 +73,8 @@
 	In     time.Duration
 }
 
-// ReplyOf turns a grant into a message that is sent now.
-func ReplyOf(now time.Time, g ratelimit.Grant) *PermitReply {
+// NewPermitReply turns a grant into a message that is sent now.
+func NewPermitReply(now time.Time, g ratelimit.Grant) *PermitReply {
 	r := &PermitReply{Issuer: true, Target: g.Target, Permits: g.Permits}
 	for _, t := range g.Turns {
 		r.Turns = append(r.Turns, PermitTurn{Target: t.Target, In: t.At.Sub(now)})
--- a/mesh/permits_test.go
+++ b/mesh/permits_test.go
@@ -17,7 +17,7 @@
 func TestLimitsComeAsTheyWereSent(t *testing.T) {
 	sent, came := time.Unix(1000, 0), time.Unix(5000, 0)
 	for _, l := range []call.Limit{call.Limited{PerSecond: 1.5}, call.Limited{}, call.Unlimited{}} {
-		raw, err := cbor.Marshal(mesh.LimitReportOf(sent, ratelimit.Report{Target: "t", Limit: l, At: sent.Add(-time.Second)}))
+		raw, err := cbor.Marshal(mesh.NewLimitReport(sent, ratelimit.Report{Target: "t", Limit: l, At: sent.Add(-time.Second)}))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/mesh/relayed.go
+++ b/mesh/relayed.go
@@ -16,8 +16,8 @@
 	Read  ReadQuery    `json:"read"`
 }
 
-// Gathered is what the ranks reported that answered.
-type Gathered struct {
+// GatherReply is what the ranks reported that answered.
+type GatherReply struct {
 	Ranks []RankStatus `json:"ranks"`
 	// ExpertCounts is what these ranks chose together since the asker asked last; missing if
 	// none could tell.
@@ -40,8 +40,8 @@
 	Experts       [][]int // the map in use, by layer; only where it was asked for
 }
 
-// WordOf shortens a report for a message that has many.
-func WordOf(rank int, r *RankReport) RankStatus {
+// NewRankStatus shortens a report for a message that has many.
+func NewRankStatus(rank int, r *RankReport) RankStatus {
 	s := r.State
 	w := RankStatus{
 		Rank: rank, Open: s.Open, Epoch: s.Epoch, Step: s.Step, Map: s.Map, Prepared: s.Prepared,
--- a/node/limiting.go
+++ b/node/limiting.go
@@ -155,7 +155,7 @@
 	defer cancel()
 	ask := &mesh.PermitQuery{Service: q.svc}
 	for _, w := range reports {
-		ask.Wants = append(ask.Wants, mesh.LimitReportOf(q.asked, w))
+		ask.Wants = append(ask.Wants, mesh.NewLimitReport(q.asked, w))
 	}
 	r, err := mesh.Call[mesh.PermitQuery, mesh.PermitReply](ctx, l.entry.mesh, q.issuer.Address, mesh.Permit, ask)
 	now := clock.Now()
@@ -225,7 +225,7 @@
 	for _, w := range l.receive(now, q.Wants, "asker") {
 		asked = append(asked, w.Target)
 	}
-	return mesh.ReplyOf(now, l.issue(now, q.Service, l.entry.fleet.reports(asked))), nil
+	return mesh.NewPermitReply(now, l.issue(now, q.Service, l.entry.fleet.reports(asked))), nil
 }
 
 // receive takes what another box reports about limits, and returns it.
@@ -244,7 +244,7 @@
 func (l *limiting) reports(now time.Time, others int) []mesh.LimitReport {
 	var list []mesh.LimitReport
 	for _, w := range l.entry.fleet.limitReports(now, others) {
-		list = append(list, mesh.LimitReportOf(now, w))
+		list = append(list, mesh.NewLimitReport(now, w))
 	}
 	return list
 }
--- a/node/peering.go
+++ b/node/peering.go
@@ -129,7 +129,7 @@
 	mesh.Handle(mux, mesh.Pull, p.pull)
 	mesh.Handle(mux, mesh.QueryHall, p.entry.surveying.survey)
 	mesh.Handle(mux, mesh.Permit, p.entry.limiting.permit)
-	mesh.Handle(mux, mesh.Command, p.entry.command)
+	mesh.Handle(mux, mesh.SendOrder, p.entry.command)
 	mesh.Handle(mux, mesh.FanOut, p.entry.deal)
 	for _, address := range []string{p.entry.settings().Peers, p.entry.settings().Meeting} {
 		if address == "" {
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -111,7 +111,7 @@
 	m := mesh.NewMux()
 	mesh.Handle(m, mesh.Watch, a.watch)
 	mesh.Handle(m, mesh.Read, a.read)
-	mesh.Handle(m, mesh.Command, a.command)
+	mesh.Handle(m, mesh.SendOrder, a.command)
 	mesh.Handle(m, mesh.Gather, a.gather)
 	mesh.Handle(m, mesh.FanOut, a.deal)
 	return m
--- a/node/rank/giving.go
+++ b/node/rank/giving.go
@@ -28,7 +28,7 @@
 		calls = d.giveMany(ctx, calls, long)
 	}
 	for _, c := range calls {
-		call := mesh.CallOf(c)
+		call := mesh.NewOrderCall(c)
 		if c.Rank != d.rank && !d.mute.is(c.Rank) {
 			call = d.told.Shorten(c.Rank, call)
 		}
@@ -124,7 +124,7 @@
 		byRank[c.Rank] = c
 		ranks = append(ranks, c.Rank)
 	}
-	order := d.told.Shorten(calls[0].Rank, mesh.CallOf(calls[0]))
+	order := d.told.Shorten(calls[0].Rank, mesh.NewOrderCall(calls[0]))
 	var rest []orders.Call
 	for _, p := range d.relays.Through(ranks, d.relayed) {
 		var part []orders.Call
@@ -151,7 +151,7 @@
 		}
 		batch := calls[:min(helperBatch, len(calls))]
 		calls = calls[len(batch):]
-		call := &mesh.FanOutCall{Order: *mesh.CallOf(batch[0]), Timeout: orderWithin}
+		call := &mesh.FanOutCall{Order: *mesh.NewOrderCall(batch[0]), Timeout: orderWithin}
 		for _, c := range batch {
 			call.Engines = append(call.Engines, d.members[c.Rank].Target)
 		}
@@ -218,7 +218,7 @@
 	default:
 		var reply *mesh.OrderReply
 		done.agent = true
-		reply, done.err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, d.agent.mesh, m.Agent, mesh.Command, call)
+		reply, done.err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, d.agent.mesh, m.Agent, mesh.SendOrder, call)
 		if done.err == nil {
 			done.result = reply.Result
 		}
--- a/node/rank/groupduty.go
+++ b/node/rank/groupduty.go
@@ -106,7 +106,7 @@
 	epoch  orders.Epoch
 	picked bool
 	began  time.Time
-	report *mesh.Gathered
+	report *mesh.GatherReply
 	err    error
 }
 
--- a/node/rank/orders.go
+++ b/node/rank/orders.go
@@ -42,9 +42,9 @@
 // was told, and until it is back the group is held; a box without a rank of the group
 // leaves no doubt, since every engine can still be asked.
 func (a *Agent) through(ctx context.Context, helper string, m mesh.Member, c orders.Call) (orders.Result, error) {
-	call := mesh.CallOf(c)
+	call := mesh.NewOrderCall(c)
 	call.Engine = m.Target
-	reply, err := mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, helper, mesh.Command, call)
+	reply, err := mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, helper, mesh.SendOrder, call)
 	if err != nil {
 		a.helpers.Failed(helper)
 		return orders.Lost, err
--- a/node/rank/reading.go
+++ b/node/rank/reading.go
@@ -73,7 +73,7 @@
 func (d *groupDuty) gather(ctx context.Context, relay mesh.Member, q *mesh.GatherQuery, done gatherDone) {
 	ctx, cancel := context.WithTimeout(ctx, readWithin)
 	defer cancel()
-	done.report, done.err = mesh.Call[mesh.GatherQuery, mesh.Gathered](ctx, d.agent.mesh, relay.Agent, mesh.Gather, q)
+	done.report, done.err = mesh.Call[mesh.GatherQuery, mesh.GatherReply](ctx, d.agent.mesh, relay.Agent, mesh.Gather, q)
 	d.mute.note(done.part.Relay, done.err)
 	d.results <- done
 }
--- a/node/rank/relaying.go
+++ b/node/rank/relaying.go
@@ -20,7 +20,7 @@
 
 // gather reads ranks of the own group for its coordinator. A rank that does not answer in
 // time is left out.
-func (a *Agent) gather(ctx context.Context, q *mesh.GatherQuery) (*mesh.Gathered, error) {
+func (a *Agent) gather(ctx context.Context, q *mesh.GatherQuery) (*mesh.GatherReply, error) {
 	members, ok := a.membersIn(q.Epoch)
 	if !ok {
 		return nil, fault.New(fault.BadRequest, "the group's members are not known in epoch %d", q.Epoch)
@@ -56,12 +56,12 @@
 	return report
 }
 
-func gathered(ranks []int, reports []*mesh.RankReport) *mesh.Gathered {
-	out := &mesh.Gathered{}
+func gathered(ranks []int, reports []*mesh.RankReport) *mesh.GatherReply {
+	out := &mesh.GatherReply{}
 	var picked []*mesh.ExpertCounts
 	for i, r := range reports {
 		if r != nil {
-			out.Ranks = append(out.Ranks, mesh.WordOf(ranks[i], r))
+			out.Ranks = append(out.Ranks, mesh.NewRankStatus(ranks[i], r))
 			picked = append(picked, r.ExpertCounts)
 		}
 	}
@@ -103,7 +103,7 @@
 	if m.Agent == a.settings().Peers {
 		reply, err = a.command(ctx, &o)
 	} else {
-		reply, err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, m.Agent, mesh.Command, &o)
+		reply, err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, m.Agent, mesh.SendOrder, &o)
 	}
 	if err != nil {
 		return mesh.FanOutResult{Result: orders.Lost, UnknownBase: mesh.IsUnknownBase(err)}
--- a/node/telling/telling_test.go
+++ b/node/telling/telling_test.go
@@ -56,7 +56,7 @@
 // tell sends an order, and returns what the agent makes of it.
 func (l *line) tell(p orders.Prepare, arrives bool) (*mesh.OrderCall, error) {
 	l.t.Helper()
-	raw, err := cbor.Marshal(l.told.Shorten(1, mesh.CallOf(orders.Call{Rank: 1, Epoch: 3, Order: p})))
+	raw, err := cbor.Marshal(l.told.Shorten(1, mesh.NewOrderCall(orders.Call{Rank: 1, Epoch: 3, Order: p})))
 	if err != nil {
 		l.t.Fatal(err)
 	}
