--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -117,7 +117,7 @@
 	for r := range ranks {
 		taught.Members = append(taught.Members, mesh.Member{Rank: r, Instance: instance(r), Target: "10.1.0.40:8000", Agent: "10.1.0.40:7355"})
 	}
-	answer := &mesh.RankReport{Group: "g0-0", Rank: 3, Size: ranks, State: orders.State{Epoch: 3, Open: true, Step: 90_000, Map: 42_000_000_000, Prepared: 42_000_000_000}, Running: 7, Slowdown: 1, Knows: 3}
+	answer := &mesh.RankReport{Group: "g0-0", Rank: 3, Size: ranks, State: orders.State{Epoch: 3, Open: true, Step: 90_000, Map: 42_000_000_000, Prepared: 42_000_000_000}, Running: 7, Slowdown: 1, MembersEpoch: 3}
 	return bytesOf(&mesh.WatchQuery{Epoch: 3}) + bytesOf(answer) + bytesOf(taught)/questions
 }
 
--- a/mesh/fuzz_test.go
+++ b/mesh/fuzz_test.go
@@ -18,8 +18,8 @@
 	hold := orders.Step(7)
 	for _, m := range []any{
 		&mesh.Advert{Self: mesh.Contact{Box: "b"}, FailureReports: []mesh.FailureReport{{Target: "t", By: "b", Age: 5}}, WorkObservations: []mesh.WorkObservation{{Digest: "d", Target: "t", Age: 5}}, Limits: []mesh.LimitReport{{Target: "t", Age: 5}}},
-		&mesh.PermitQuery{Service: "s", Wants: []mesh.LimitReport{{Target: "t", Age: 5}}},
-		&mesh.PermitReply{Issuer: true, Target: "t", Permits: 2, Turns: []mesh.PermitTurn{{Target: "u", In: 5}}},
+		&mesh.PermitQuery{Service: "s", Limits: []mesh.LimitReport{{Target: "t", Age: 5}}},
+		&mesh.PermitReply{Issuer: true, Target: "t", Permits: 2, Turns: []mesh.PermitTurn{{Target: "u", Wait: 5}}},
 		&mesh.PullReply{At: pos(3), Targets: []mesh.TargetUpdate{{ID: "t", At: pos(2), Target: &domain.TargetFields{ID: "t"}}}},
 		&mesh.RankReport{Group: "g", Size: 2, ExpertCounts: mesh.NewExpertCounts([]uint64{3, 1000})},
 		&mesh.GatherReply{Ranks: []mesh.RankStatus{{Rank: 1, Held: &hold}}, ExpertCounts: mesh.NewExpertCounts([]uint64{1})},
@@ -67,7 +67,7 @@
 	if cbor.Unmarshal(raw, &query) != nil {
 		return
 	}
-	for _, w := range query.Wants {
+	for _, w := range query.Limits {
 		word, ok := w.Report(time.Unix(1000, 0))
 		if l, limited := word.Limit.(call.Limited); ok && limited && !(l.PerSecond >= 0 && l.PerSecond < 1e9) {
 			t.Errorf("%x: a limit of %v a second", raw, l.PerSecond)
--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -203,9 +203,9 @@
 	Epoch   orders.Epoch     `json:"epoch"`
 	Members []Member         `json:"members,omitempty"` // of its group in that epoch
 	Shape   *rebalance.Shape `json:"shape,omitempty"`   // of the group's maps
-	// Helpers are the addresses of the asking box and of some agents of other groups:
+	// Forwarders are the addresses of the asking box and of some agents of other groups:
 	// processes on boxes without a rank of this group, which hand orders on for it.
-	Helpers []string `json:"helpers,omitempty"`
+	Forwarders []string `json:"helpers,omitempty"`
 }
 
 // RankReport is how a rank does.
@@ -224,9 +224,9 @@
 	// ExpertCounts is how often each expert was chosen by this rank's requests since the
 	// asker asked last; only where Read asks, and missing if that is not known.
 	ExpertCounts *ExpertCounts `json:"picked,omitempty"`
-	// Knows is the epoch for which the agent knows who is in its group; only in answers
+	// MembersEpoch is the epoch for which the agent knows who is in its group; only in answers
 	// to Watch.
-	Knows orders.Epoch `json:"knows,omitempty"`
+	MembersEpoch orders.Epoch `json:"knows,omitempty"`
 	// Experts are the experts of the map in use, by layer; only where Read asks.
 	Experts [][]int `json:"holds,omitempty"`
 }
--- a/mesh/permits.go
+++ b/mesh/permits.go
@@ -44,17 +44,17 @@
 	_ struct{} `cbor:",toarray"`
 	// Boxes are how many share them, as it counts.
 	Boxes int
-	// Apart reports that it goes by its own part, Settled that it has run long enough to be an issuer.
-	Apart, Settled bool
+	// UsesFallback reports that it goes by its own part, Settled that it has run long enough to be an issuer.
+	UsesFallback, Settled bool
 }
 
 // PermitQuery asks the issuer of the service for permits for the first target that has any, in the
 // order of the wants.
 type PermitQuery struct {
 	Service domain.ServiceName `json:"service"`
-	// Wants are what the asker knows of the targets' limits. There is none where it only finds out
+	// Limits are what the asker knows of the targets' limits. There is none where it only finds out
 	// whether the issuer answers.
-	Wants []LimitReport `json:"wants,omitempty"`
+	Limits []LimitReport `json:"wants,omitempty"`
 }
 
 // PermitReply is what the asker gets.
@@ -70,14 +70,14 @@
 type PermitTurn struct {
 	_      struct{} `cbor:",toarray"`
 	Target domain.InstanceID
-	In     time.Duration
+	Wait   time.Duration
 }
 
 // NewPermitReply turns a grant into a message that is sent now.
 func NewPermitReply(now time.Time, g ratelimit.Grant) *PermitReply {
 	r := &PermitReply{Issuer: true, Target: g.Target, Permits: g.Permits}
 	for _, t := range g.Turns {
-		r.Turns = append(r.Turns, PermitTurn{Target: t.Target, In: t.At.Sub(now)})
+		r.Turns = append(r.Turns, PermitTurn{Target: t.Target, Wait: t.At.Sub(now)})
 	}
 	return r
 }
@@ -86,7 +86,7 @@
 func (r *PermitReply) Grant(now time.Time) ratelimit.Grant {
 	g := ratelimit.Grant{Target: r.Target, Permits: r.Permits}
 	for _, t := range r.Turns {
-		g.Turns = append(g.Turns, ratelimit.Turn{Target: t.Target, At: now.Add(t.In)})
+		g.Turns = append(g.Turns, ratelimit.Turn{Target: t.Target, At: now.Add(t.Wait)})
 	}
 	return g
 }
--- a/node/adverts.go
+++ b/node/adverts.go
@@ -51,7 +51,7 @@
 
 // share is how this box shares limits; mu is held.
 func (p *peering) share(now time.Time, apart bool) *mesh.ShareReport {
-	return &mesh.ShareReport{Boxes: p.boxes.LimitSharers(now), Apart: apart, Settled: p.boxes.Settled(now)}
+	return &mesh.ShareReport{Boxes: p.boxes.LimitSharers(now), UsesFallback: apart, Settled: p.boxes.Settled(now)}
 }
 
 func contactOf(c membership.Contact, ago time.Duration) mesh.Contact {
@@ -67,7 +67,7 @@
 	if w == nil {
 		return membership.ShareReport{}
 	}
-	return membership.ShareReport{Boxes: w.Boxes, UsesFallback: w.Apart, Settled: w.Settled}
+	return membership.ShareReport{Boxes: w.Boxes, UsesFallback: w.UsesFallback, Settled: w.Settled}
 }
 
 // failureReports are what boxes report against targets, to be passed on.
--- a/node/limiting.go
+++ b/node/limiting.go
@@ -155,7 +155,7 @@
 	defer cancel()
 	ask := &mesh.PermitQuery{Service: q.svc}
 	for _, w := range reports {
-		ask.Wants = append(ask.Wants, mesh.NewLimitReport(q.asked, w))
+		ask.Limits = append(ask.Limits, mesh.NewLimitReport(q.asked, w))
 	}
 	r, err := mesh.Call[mesh.PermitQuery, mesh.PermitReply](ctx, l.entry.mesh, q.issuer.Address, mesh.Permit, ask)
 	now := clock.Now()
@@ -222,7 +222,7 @@
 		return &mesh.PermitReply{}, nil
 	}
 	var asked []domain.InstanceID
-	for _, w := range l.receive(now, q.Wants, "asker") {
+	for _, w := range l.receive(now, q.Limits, "asker") {
 		asked = append(asked, w.Target)
 	}
 	return mesh.NewPermitReply(now, l.issue(now, q.Service, l.entry.fleet.reports(asked))), nil
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -127,7 +127,7 @@
 		return nil, err
 	}
 	out := reportOf(r)
-	out.Knows = a.knows()
+	out.MembersEpoch = a.knows()
 	return out, nil
 }
 
@@ -150,7 +150,7 @@
 		a.turn.MembersReceived(clock.Now())
 	}
 	a.epoch, a.shape = q.Epoch, q.Shape
-	a.helpers.Learn(clock.Now(), q.Helpers)
+	a.helpers.Learn(clock.Now(), q.Forwarders)
 	a.members = make(map[int]mesh.Member, len(q.Members))
 	for _, m := range q.Members {
 		a.members[m.Rank] = m
--- a/node/watching.go
+++ b/node/watching.go
@@ -151,7 +151,7 @@
 	if report.Leaving {
 		w.entry.fleet.leaves(clock.Now(), id, "agent")
 	}
-	u.Acknowledged(report.Knows)
+	u.Acknowledged(report.MembersEpoch)
 	if !u.Due(clock.Now(), epoch) {
 		return nil
 	}
@@ -219,8 +219,8 @@
 		news = r.All()
 	})
 	own, _ := target.Rank()
-	q := &mesh.WatchQuery{Epoch: orders.Epoch(own.Epoch), Shape: w.shape(target.Service()), Helpers: w.helpers()}
-	entries := len(q.Helpers)
+	q := &mesh.WatchQuery{Epoch: orders.Epoch(own.Epoch), Shape: w.shape(target.Service()), Forwarders: w.helpers()}
+	entries := len(q.Forwarders)
 	for _, n := range news {
 		r, ok := n.Target.Rank()
 		switch {
@@ -230,8 +230,8 @@
 				Rank: r.Number, Instance: n.ID, Target: n.Target.Address(), Agent: w.agentOf(*n.Target),
 				Hall: n.Target.Hall(),
 			})
-		case r.Group != own.Group && r.Number >= r.Size-othersMost && len(q.Helpers)-entries < othersMost:
-			q.Helpers = append(q.Helpers, w.agentOf(*n.Target))
+		case r.Group != own.Group && r.Number >= r.Size-othersMost && len(q.Forwarders)-entries < othersMost:
+			q.Forwarders = append(q.Forwarders, w.agentOf(*n.Target))
 		}
 	}
 	if len(q.Members) != own.Size {
