--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -75,7 +75,7 @@
 func (a *attempt) scheduleProcessCheck() {
 	deps, work, t, witness := a.d.g.deps, a.d.req.digest, a.lease.Target(), a.lease.Witness()
 	clock.AfterFunc(clock.Now().Add(processCheckDelay), func() {
-		if deps.Pool.Ended(context.Background(), t.Address(), witness) {
+		if deps.Pool.ProcessEnded(context.Background(), t.Address(), witness) {
 			deps.Quarantine.TargetEnded(clock.Now(), work, t.ID())
 		}
 	})
@@ -87,7 +87,7 @@
 func (a *attempt) targetProcessEnded(ctx context.Context, end retry.Outcome) bool {
 	switch end.(type) {
 	case retry.Lost, retry.Broken:
-		return ctx.Err() == nil && a.d.g.deps.Pool.Ended(ctx, a.lease.Target().Address(), a.lease.Witness())
+		return ctx.Err() == nil && a.d.g.deps.Pool.ProcessEnded(ctx, a.lease.Target().Address(), a.lease.Witness())
 	default:
 		return false
 	}
@@ -120,7 +120,7 @@
 	if !a.lease.MaySend(clock.Now()) {
 		return retry.NotSent{Err: errTargetUnavailable}, Neutral
 	}
-	x.Bind(ctx)
+	x.CloseWhenDone(ctx)
 	req := a.outboundRequest(ctx)
 	if err := x.Send(req); err != nil && !x.Sent() {
 		return retry.NotSent{Err: err}, Neutral
@@ -138,9 +138,9 @@
 // target has already dropped, such a request would be lost and could not be repeated.
 func (a *attempt) connectionReuse() transport.Reuse {
 	if a.d.req.route.MayRepeat() {
-		return transport.Kept
+		return transport.ReuseIdle
 	}
-	return transport.Fresh
+	return transport.DialNew
 }
 
 // outboundRequest returns the caller's request with the headers of the attempt.
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -300,7 +300,7 @@
 	q := &quarantine{}
 	g := gateway.New(gateway.Dependencies{
 		Common: telemetry.Quiet(), Headers: testCodec{}, Fleet: f, Quarantine: q,
-		Pool:   transport.NewPool(transport.Dial(transport.Timing{Connect: time.Second, Unheard: time.Second}), transport.DefaultSettings()),
+		Pool:   transport.NewPool(transport.Dial(transport.Timeouts{Connect: time.Second, DeadPeer: time.Second}), transport.DefaultSettings()),
 		Budget: func(domain.ServiceName) retry.Budget { return unlimitedBudget{} },
 	})
 	g.Configure(routes(t))
--- a/node/process/network.go
+++ b/node/process/network.go
@@ -32,7 +32,7 @@
 // MachineNetwork returns TCP on this machine, with the time-outs of connections to
 // targets, the store and other boxes.
 func MachineNetwork() Network {
-	return machineNetwork{dial: transport.Dial(transport.Timing{Connect: connectWithin, Unheard: unheardFor})}
+	return machineNetwork{dial: transport.Dial(transport.Timeouts{Connect: connectWithin, DeadPeer: unheardFor})}
 }
 
 // Listen implements Network.
--- a/transport/dial.go
+++ b/transport/dial.go
@@ -13,26 +13,26 @@
 // place.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Timing bounds how long a dead peer goes unnoticed.
-type Timing struct {
+// Timeouts bounds how long a dead peer goes unnoticed.
+type Timeouts struct {
 	// Connect bounds the opening of a connection.
 	Connect time.Duration
-	// Unheard is how long sent bytes may stay unacknowledged, and how long an idle
+	// DeadPeer is how long sent bytes may stay unacknowledged, and how long an idle
 	// peer may leave probes unanswered, before the connection is given up.
-	Unheard time.Duration
+	DeadPeer time.Duration
 }
 
 // probes is how many keep-alive probes fit into the time of an unheard peer.
 const probes = 3
 
 // Dial returns a Dialer of the real network.
-func Dial(t Timing) Dialer {
+func Dial(t Timeouts) Dialer {
 	d := net.Dialer{
 		Timeout: t.Connect,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: t.Unheard / probes, Interval: t.Unheard / probes, Count: probes - 1,
+			Enable: true, Idle: t.DeadPeer / probes, Interval: t.DeadPeer / probes, Count: probes - 1,
 		},
-		Control: func(_, _ string, c syscall.RawConn) error { return setUserTimeout(c, t.Unheard) },
+		Control: func(_, _ string, c syscall.RawConn) error { return setUserTimeout(c, t.DeadPeer) },
 	}
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		return d.DialContext(ctx, "tcp", address)
--- a/transport/ended.go
+++ b/transport/ended.go
@@ -28,12 +28,12 @@
 	until time.Time // of its use; zero while it is made
 }
 
-// Ended reports whether the process at the address has ended: its box refuses connections. One
+// ProcessEnded reports whether the process at the address has ended: its box refuses connections. One
 // that breaks connections off and still listens has not, and of one whose box reports nothing
 // that is not known. A way there that is cut may refuse connections, too; so the witness,
 // another process there, must take one. It is empty where there is none, and a refusal is
 // believed. A connection that opens is kept for the next request.
-func (p *Pool) Ended(ctx context.Context, address, witness string) bool {
+func (p *Pool) ProcessEnded(ctx context.Context, address, witness string) bool {
 	l, mine := p.look(address)
 	if !mine {
 		select {
@@ -105,7 +105,7 @@
 	defer cancel()
 	c, err := p.connect(ctx, address)
 	if err == nil {
-		p.put(c, clock.Now().Add(p.settings.Idle))
+		p.put(c, clock.Now().Add(p.settings.IdleTimeout))
 	}
 	refused = errors.Is(err, syscall.ECONNREFUSED)
 	return refused, refused || err == nil
--- a/transport/ended_test.go
+++ b/transport/ended_test.go
@@ -35,7 +35,7 @@
 		}, false},
 	} {
 		p := transport.NewPool(tc.dial, transport.DefaultSettings())
-		if got := p.Ended(t.Context(), "a:1", ""); got != tc.want {
+		if got := p.ProcessEnded(t.Context(), "a:1", ""); got != tc.want {
 			t.Errorf("%s: ended %v", name, got)
 		}
 		p.Close()
@@ -60,7 +60,7 @@
 			}
 			return nil, syscall.ECONNREFUSED
 		}, transport.DefaultSettings())
-		if got := p.Ended(t.Context(), "a:1", tc.witness); got != tc.want {
+		if got := p.ProcessEnded(t.Context(), "a:1", tc.witness); got != tc.want {
 			t.Errorf("%s: ended %v", name, got)
 		}
 	}
@@ -79,12 +79,12 @@
 			return c, nil
 		}, transport.DefaultSettings())
 		defer p.Close()
-		if p.Ended(t.Context(), "a:1", "") {
+		if p.ProcessEnded(t.Context(), "a:1", "") {
 			t.Error("ended while it lives")
 		}
 		lives = false
 		time.Sleep(50 * time.Millisecond)
-		if !p.Ended(t.Context(), "a:1", "") {
+		if !p.ProcessEnded(t.Context(), "a:1", "") {
 			t.Error("that it lived a moment ago hides that it ended")
 		}
 	})
@@ -105,7 +105,7 @@
 		defer p.Close()
 		var asking sync.WaitGroup
 		for range 20 {
-			asking.Go(func() { p.Ended(context.Background(), "a:1", "") })
+			asking.Go(func() { p.ProcessEnded(context.Background(), "a:1", "") })
 		}
 		synctest.Wait()
 		close(release)
@@ -113,7 +113,7 @@
 		if n := dials.Load(); n != 1 {
 			t.Errorf("%d connections for one look", n)
 		}
-		x, err := p.Open(context.Background(), "a:1", transport.Kept)
+		x, err := p.Open(context.Background(), "a:1", transport.ReuseIdle)
 		if err != nil || !x.Reused() {
 			t.Errorf("the connection of the look is not used: %v", err)
 		}
--- a/transport/exchange.go
+++ b/transport/exchange.go
@@ -34,8 +34,8 @@
 // Sent reports that a byte of the request may have left this box.
 func (x *Exchange) Sent() bool { return x.conn.sent }
 
-// Bind closes the connection once ctx ends, so that the target stops working.
-func (x *Exchange) Bind(ctx context.Context) {
+// CloseWhenDone closes the connection once ctx ends, so that the target stops working.
+func (x *Exchange) CloseWhenDone(ctx context.Context) {
 	x.cut = context.AfterFunc(ctx, x.conn.close)
 }
 
--- a/transport/pool.go
+++ b/transport/pool.go
@@ -18,29 +18,29 @@
 
 // The ways of reuse.
 const (
-	// Kept takes a kept connection if there is one.
-	Kept Reuse = iota
-	// Fresh opens a new connection, for requests that must not be lost to one that
+	// ReuseIdle takes a kept connection if there is one.
+	ReuseIdle Reuse = iota
+	// DialNew opens a new connection, for requests that must not be lost to one that
 	// the target has silently forgotten.
-	Fresh
+	DialNew
 )
 
 // Settings hold the times of a Pool.
 type Settings struct {
-	// Idle is how long a connection rests before it is closed, where the target does
+	// IdleTimeout is how long a connection rests before it is closed, where the target does
 	// not say less.
-	Idle time.Duration
-	// Margin is how long before the end that a target tells a connection is no longer
+	IdleTimeout time.Duration
+	// KeepAliveMargin is how long before the end that a target tells a connection is no longer
 	// used.
-	Margin time.Duration
-	// Keep is how many idle connections are kept to one target.
-	Keep int
+	KeepAliveMargin time.Duration
+	// MaxIdlePerTarget is how many idle connections are kept to one target.
+	MaxIdlePerTarget int
 }
 
 // DefaultSettings returns the usual settings: targets commonly keep idle connections for five seconds or more,
 // and a second covers clocks and the way there.
 func DefaultSettings() Settings {
-	return Settings{Idle: 4 * time.Second, Margin: time.Second, Keep: 16}
+	return Settings{IdleTimeout: 4 * time.Second, KeepAliveMargin: time.Second, MaxIdlePerTarget: 16}
 }
 
 // Pool keeps connections to targets. Its methods may be called from any goroutine.
@@ -72,7 +72,7 @@
 
 // Open gives an exchange over a connection to the address.
 func (p *Pool) Open(ctx context.Context, address string, reuse Reuse) (*Exchange, error) {
-	if reuse == Kept {
+	if reuse == ReuseIdle {
 		if c := p.take(address); c != nil {
 			return &Exchange{pool: p, conn: c, reused: true}, nil
 		}
@@ -125,7 +125,7 @@
 	c.until = until
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.address]) >= p.settings.Keep {
+	if len(p.idle[c.address]) >= p.settings.MaxIdlePerTarget {
 		c.close()
 		return
 	}
@@ -174,11 +174,11 @@
 	if r.Close {
 		return 0
 	}
-	keep := p.settings.Idle
+	keep := p.settings.IdleTimeout
 	for field := range strings.SplitSeq(r.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			keep = min(keep, time.Duration(seconds)*time.Second-p.settings.Margin)
+			keep = min(keep, time.Duration(seconds)*time.Second-p.settings.KeepAliveMargin)
 		}
 	}
 	return max(keep, 0)
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -66,7 +66,7 @@
 }
 
 func newPool() *transport.Pool {
-	dial := transport.Dial(transport.Timing{Connect: time.Second, Unheard: time.Second})
+	dial := transport.Dial(transport.Timeouts{Connect: time.Second, DeadPeer: time.Second})
 	return transport.NewPool(dial, transport.DefaultSettings())
 }
 
@@ -101,11 +101,11 @@
 		reuse  transport.Reuse
 		conns  int32
 	}{
-		{"kept", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nok", transport.Kept, 1},
-		{"fresh each time", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nok", transport.Fresh, 3},
-		{"closed by the target", "HTTP/1.1 200 OK\nId: 1\nConnection: close\nContent-Length: 2\n\nok", transport.Kept, 3},
-		{"kept for too short", "HTTP/1.1 200 OK\nId: 1\nKeep-Alive: timeout=1\nContent-Length: 2\n\nok", transport.Kept, 3},
-		{"more behind the answer", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nokHTTP/1.1 200 OK\nId: 0\nContent-Length: 0\n\n", transport.Kept, 3},
+		{"kept", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nok", transport.ReuseIdle, 1},
+		{"fresh each time", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nok", transport.DialNew, 3},
+		{"closed by the target", "HTTP/1.1 200 OK\nId: 1\nConnection: close\nContent-Length: 2\n\nok", transport.ReuseIdle, 3},
+		{"kept for too short", "HTTP/1.1 200 OK\nId: 1\nKeep-Alive: timeout=1\nContent-Length: 2\n\nok", transport.ReuseIdle, 3},
+		{"more behind the answer", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nokHTTP/1.1 200 OK\nId: 0\nContent-Length: 0\n\n", transport.ReuseIdle, 3},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 	})
 	pool := newPool()
 	defer pool.Close()
-	if body, err := get(t, pool, peer.address(), transport.Kept); body != "right" || err != nil {
+	if body, err := get(t, pool, peer.address(), transport.ReuseIdle); body != "right" || err != nil {
 		t.Errorf("got %q, %v", body, err)
 	}
 }
@@ -144,7 +144,7 @@
 		write(w, strings.Repeat("HTTP/1.1 200 OK\nId: late\nContent-Length: 1\n\nx", 10))
 		return true
 	})
-	if body, err := get(t, newPool(), peer.address(), transport.Kept); err == nil {
+	if body, err := get(t, newPool(), peer.address(), transport.ReuseIdle); err == nil {
 		t.Errorf("got %q", body)
 	}
 }
@@ -165,7 +165,7 @@
 				write(w, answer)
 				return false
 			})
-			if body, err := get(t, newPool(), peer.address(), transport.Kept); err == nil {
+			if body, err := get(t, newPool(), peer.address(), transport.ReuseIdle); err == nil {
 				t.Errorf("got %q as whole", body)
 			}
 		})
@@ -177,7 +177,7 @@
 		write(w, "HTTP/1.1 200 OK\nId: 1\n\nwhole")
 		return false
 	})
-	if body, err := get(t, newPool(), peer.address(), transport.Kept); body != "whole" || err != nil {
+	if body, err := get(t, newPool(), peer.address(), transport.ReuseIdle); body != "whole" || err != nil {
 		t.Errorf("got %q, %v", body, err)
 	}
 	reset := newPeer(t, func(_ int, w net.Conn, _ *http.Request) bool {
@@ -185,7 +185,7 @@
 		_ = w.(*net.TCPConn).SetLinger(0) // closing now resets
 		return false
 	})
-	if body, err := get(t, newPool(), reset.address(), transport.Kept); err == nil {
+	if body, err := get(t, newPool(), reset.address(), transport.ReuseIdle); err == nil {
 		t.Errorf("got %q as whole although the connection was reset", body)
 	}
 }
@@ -193,7 +193,7 @@
 func TestSentTellsWhetherAByteMayHaveLeft(t *testing.T) {
 	pool := newPool()
 	peer := newPeer(t, func(int, net.Conn, *http.Request) bool { return false })
-	x, err := pool.Open(context.Background(), peer.address(), transport.Fresh)
+	x, err := pool.Open(context.Background(), peer.address(), transport.DialNew)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,13 +201,13 @@
 		t.Error("sent before anything was written")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	x.Bind(ctx)
+	x.CloseWhenDone(ctx)
 	cancel()
 	for x.Send(request()) == nil { // until the close is carried out
 	}
 	x.Close()
 
-	y, err := pool.Open(context.Background(), peer.address(), transport.Fresh)
+	y, err := pool.Open(context.Background(), peer.address(), transport.DialNew)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -225,12 +225,12 @@
 		closed <- err
 		return false
 	})
-	x, err := newPool().Open(context.Background(), peer.address(), transport.Kept)
+	x, err := newPool().Open(context.Background(), peer.address(), transport.ReuseIdle)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	x.Bind(ctx)
+	x.CloseWhenDone(ctx)
 	if err := x.Send(request()); err != nil {
 		t.Fatal(err)
 	}
@@ -252,7 +252,7 @@
 	pool := newPool()
 	defer pool.Close()
 	for range 3 {
-		if _, err := get(t, pool, peer.address(), transport.Kept); err != nil {
+		if _, err := get(t, pool, peer.address(), transport.ReuseIdle); err != nil {
 			t.Fatal(err)
 		}
 		waitClosed(t, pool, peer.address())
@@ -266,7 +266,7 @@
 func waitClosed(t *testing.T, pool *transport.Pool, address string) {
 	t.Helper()
 	for {
-		x, err := pool.Open(context.Background(), address, transport.Kept)
+		x, err := pool.Open(context.Background(), address, transport.ReuseIdle)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -285,7 +285,7 @@
 	}
 	address := l.Addr().String()
 	_ = l.Close()
-	_, err = newPool().Open(context.Background(), address, transport.Kept)
+	_, err = newPool().Open(context.Background(), address, transport.ReuseIdle)
 	var op *net.OpError
 	if !errors.As(err, &op) || op.Op != "dial" {
 		t.Errorf("got %v", err)
