--- a/local/system.go
+++ b/local/system.go
@@ -158,7 +158,7 @@
 		a := &AgentBox{system: s, settings: process.DefaultAgentSettings()}
 		a.settings.Box, a.settings.Hall, a.settings.Engine = fmt.Sprintf("rank-%d", r), string(hall), engine
 		a.settings.Peers, a.settings.Bounds = fmt.Sprintf("%s:%d", ip, agentPort), s.layout.Bounds
-		a.settings.Link = cmp.Or(s.layout.Link, 1000)
+		a.settings.LinkMbps = cmp.Or(s.layout.Link, 1000)
 		s.agents = append(s.agents, a)
 		if err := a.Start(); err != nil {
 			return err
--- a/node/peering.go
+++ b/node/peering.go
@@ -139,7 +139,7 @@
 		if err != nil {
 			return err
 		}
-		go func() { process.Fail(failed, mesh.Serve(ctx, l, mux)) }()
+		go func() { process.ReportFailure(failed, mesh.Serve(ctx, l, mux)) }()
 	}
 	return nil
 }
--- a/node/process/servers.go
+++ b/node/process/servers.go
@@ -29,7 +29,7 @@
 	}
 	go func() {
 		if err := srv.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			Fail(s.failed, err)
+			ReportFailure(s.failed, err)
 		}
 	}()
 	return nil
@@ -43,8 +43,8 @@
 	return s.Serve(&http.Server{Handler: c.Metrics.Handler(), ReadHeaderTimeout: catalog.DefaultLimits().HeaderTimeout}, address)
 }
 
-// Fail reports how a server ended. Only the first counts, and none once the process leaves.
-func Fail(failed chan<- error, err error) {
+// ReportFailure reports how a server ended. Only the first counts, and none once the process leaves.
+func ReportFailure(failed chan<- error, err error) {
 	select {
 	case failed <- err:
 	default:
--- a/node/process/settings.go
+++ b/node/process/settings.go
@@ -84,14 +84,14 @@
 	Metrics string `json:"metrics"`
 	// Bounds are what the platform holds the system to.
 	Bounds Bounds `json:"bounds"`
-	// Link is what this box's link carries, in Mbit/s.
-	Link float64 `json:"link_mbps" min:"0.1" max:"1000000"`
+	// LinkMbps is what this box's link carries, in Mbit/s.
+	LinkMbps float64 `json:"link_mbps" min:"0.1" max:"1000000"`
 	// Horizon is for how long demand is taken to stay as it is when a map is planned.
 	Horizon settings.Duration `json:"horizon" min:"100ms" max:"1h"`
-	// MostCopying bounds how long a rank copies experts for one change of maps; after it the next is planned. One expert is always copied.
-	MostCopying settings.Duration `json:"most_copying" min:"0s" max:"1m"`
-	// LeastSaving is the share of the time within the horizon that a change of maps must save.
-	LeastSaving float64 `json:"least_saving" min:"0" max:"1"`
+	// MaxCopyTime bounds how long a rank copies experts for one change of maps; after it the next is planned. One expert is always copied.
+	MaxCopyTime settings.Duration `json:"most_copying" min:"0s" max:"1m"`
+	// MinSaving is the share of the time within the horizon that a change of maps must save.
+	MinSaving float64 `json:"least_saving" min:"0" max:"1"`
 }
 
 // DefaultAgentSettings returns the default settings of an agent; docs/EXPERTS.md has the grounds
@@ -99,18 +99,18 @@
 func DefaultAgentSettings() AgentSettings {
 	return AgentSettings{
 		Bounds:      DefaultBounds(),
-		Link:        10,
+		LinkMbps:    10,
 		Horizon:     settings.Duration(2 * time.Second),
-		MostCopying: settings.Duration(150 * time.Millisecond),
-		LeastSaving: 0.08,
+		MaxCopyTime: settings.Duration(150 * time.Millisecond),
+		MinSaving:   0.08,
 	}
 }
 
-// Copies is how many experts a rank may copy for one change of maps if each takes so
+// MaxCopies is how many experts a rank may copy for one change of maps if each takes so
 // long.
-func (s AgentSettings) Copies(each time.Duration) int {
+func (s AgentSettings) MaxCopies(each time.Duration) int {
 	if each <= 0 {
 		return 1
 	}
-	return max(1, int(s.MostCopying.Std()/each))
+	return max(1, int(s.MaxCopyTime.Std()/each))
 }
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -72,7 +72,7 @@
 		return err
 	}
 	failed := make(chan error, 1)
-	go func() { process.Fail(failed, mesh.Serve(ctx, l, a.mux())) }()
+	go func() { process.ReportFailure(failed, mesh.Serve(ctx, l, a.mux())) }()
 	if err := process.NewServers(a.network, failed).ServeMetrics(a.common, a.settings().Metrics); err != nil {
 		return err
 	}
--- a/node/rank/planning.go
+++ b/node/rank/planning.go
@@ -72,7 +72,7 @@
 	}
 	s := d.agent.settings()
 	p := rebalance.Planner{
-		Shape: d.shape, Slowdowns: d.paces, Horizon: s.Horizon.Std(), CopySlowdown: slowdown, MaxCopies: s.Copies(d.shape.CopyTime), MinSaving: s.LeastSaving,
+		Shape: d.shape, Slowdowns: d.paces, Horizon: s.Horizon.Std(), CopySlowdown: slowdown, MaxCopies: s.MaxCopies(d.shape.CopyTime), MinSaving: s.MinSaving,
 		Overhead: d.overhead,
 	}
 	plan := p.Plan(rebalance.Map(current), load)
--- a/node/rank/reading.go
+++ b/node/rank/reading.go
@@ -200,5 +200,5 @@
 // sending is how long so many bytes take on a share of this box's link.
 func (d *groupDuty) sending(bytes int, share float64) time.Duration {
 	const bitsPerByte, mega = 8, 1e6
-	return time.Duration(float64(bytes*bitsPerByte) / (d.agent.settings().Link * mega * share) * float64(time.Second))
+	return time.Duration(float64(bytes*bitsPerByte) / (d.agent.settings().LinkMbps * mega * share) * float64(time.Second))
 }
