--- a/mesh/client.go
+++ b/mesh/client.go
@@ -12,31 +12,30 @@
 // Dialer opens a connection to host:port.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Client makes calls, over connections that it keeps. Its methods may be called
-// from any goroutine.
+// Client makes calls over a pool of connections. It is safe for concurrent use.
 type Client struct {
 	dial Dialer
 	pool *drpcpool.Pool[string, drpcpool.Conn]
 }
 
 const (
-	// keepFor is how long an unused connection is kept: longer than the longest pause
-	// between regular calls.
-	keepFor = 15 * time.Second
-	// keepEach is how many connections to one process are kept: one for news, one for
-	// orders, and one more while both are busy.
-	keepEach = 3
+	// idleTimeout is how long an unused connection stays open: longer than the longest pause
+	// between periodic calls.
+	idleTimeout = 15 * time.Second
+	// maxIdlePerProcess limits the idle connections to one process: one for updates, one for
+	// orders, and one more for calls while both are busy.
+	maxIdlePerProcess = 3
 )
 
 // NewClient returns a client without connections.
 func NewClient(d Dialer) *Client {
-	return &Client{dial: d, pool: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{Expiration: keepFor, KeyCapacity: keepEach})}
+	return &Client{dial: d, pool: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{Expiration: idleTimeout, KeyCapacity: maxIdlePerProcess})}
 }
 
-// Close closes all connections.
+// Close closes all pooled connections.
 func (c *Client) Close() error { return c.pool.Close() }
 
-// Call calls the process at the address. The context must have a deadline.
+// Call makes a call to the process at the address. The context must have a deadline.
 func Call[In, Out any](ctx context.Context, c *Client, address string, name Method, in *In) (*Out, error) {
 	conn := c.pool.Get(ctx, address, func(ctx context.Context, address string) (drpcpool.Conn, error) {
 		n, err := c.dial(ctx, address)
--- a/mesh/doc.go
+++ b/mesh/doc.go
@@ -1,17 +1,17 @@
-// Package mesh holds the messages between clovertrail's processes: single calls over
-// DRPC with CBOR bodies. DRPC and not gRPC, for the memory that each process takes at rest
+// Package mesh defines the messages between clovertrail's processes and sends them: unary DRPC calls
+// with CBOR bodies. It uses DRPC instead of gRPC because an idle process needs less memory with it
 // (docs/design/platform.md).
 //
-// Every call carries its own deadline in its context. A call whose answer does not
-// come in time loses its connection, and the next one opens another; nothing is
-// ever repeated by this package.
+// The deadline of a call is that of its context. If the response does not arrive in time, the
+// connection of the call is closed, and the next call opens another one. This package never repeats a
+// call.
 //
 // # Usage
 //
 //	mux := mesh.NewMux()
-//	mesh.Handle(mux, mesh.Meet, func(ctx context.Context, a *mesh.Advert) (*mesh.Advert, error) {...})
+//	mesh.Handle(mux, mesh.ExchangeAdverts, func(ctx context.Context, a *mesh.Advert) (*mesh.Advert, error) {...})
 //	go mesh.Serve(ctx, listener, mux)
 //
 //	client := mesh.NewClient(dial)
-//	reply, err := mesh.Call[mesh.Advert, mesh.Advert](ctx, client, "10.1.0.40:7340", mesh.Meet, &advert)
+//	reply, err := mesh.Call[mesh.Advert, mesh.Advert](ctx, client, "10.1.0.40:7340", mesh.ExchangeAdverts, &advert)
 package mesh
--- a/mesh/encoding.go
+++ b/mesh/encoding.go
@@ -5,7 +5,7 @@
 	"storj.io/drpc"
 )
 
-// encoding writes messages as CBOR, with the names of their JSON tags.
+// encoding encodes messages as CBOR, with the names in their JSON tags as keys.
 type encoding struct{}
 
 // Marshal implements drpc.Encoding.
--- a/mesh/expert_counts.go
+++ b/mesh/expert_counts.go
@@ -5,54 +5,54 @@
 	"slices"
 )
 
-// ExpertCounts are numbers of chosen experts, layer by layer, as one byte each: what is
-// planned from them needs no more.
+// ExpertCounts are the numbers of tokens for which each expert was selected, layer by layer, quantized
+// to one byte each. Planning needs no higher precision.
 type ExpertCounts struct {
-	// Unit is how many tokens one step of a byte stands for.
+	// Unit is the number of tokens that one quantization step stands for.
 	Unit float64 `json:"unit"`
-	// Quantized are the numbers in that unit.
+	// Quantized are the counts in multiples of Unit.
 	Quantized []byte `json:"steps"`
 }
 
-// NewExpertCounts rounds the numbers to bytes.
-func NewExpertCounts(numbers []uint64) *ExpertCounts {
-	p := &ExpertCounts{Unit: 1, Quantized: make([]byte, len(numbers))}
-	if len(numbers) == 0 {
-		return p
+// NewExpertCounts quantizes the counts.
+func NewExpertCounts(counts []uint64) *ExpertCounts {
+	c := &ExpertCounts{Unit: 1, Quantized: make([]byte, len(counts))}
+	if len(counts) == 0 {
+		return c
 	}
-	if most := slices.Max(numbers); most > math.MaxUint8 {
-		p.Unit = float64(most) / math.MaxUint8
+	if highest := slices.Max(counts); highest > math.MaxUint8 {
+		c.Unit = float64(highest) / math.MaxUint8
 	}
-	for i, n := range numbers {
-		p.Quantized[i] = byte(math.Round(float64(n) / p.Unit))
+	for i, n := range counts {
+		c.Quantized[i] = byte(math.Round(float64(n) / c.Unit))
 	}
-	return p
+	return c
 }
 
-// Count is the number at the place i.
-func (p *ExpertCounts) Count(i int) float64 { return float64(p.Quantized[i]) * p.Unit }
+// Count returns the count at index i, with the error of quantization.
+func (c *ExpertCounts) Count(i int) float64 { return float64(c.Quantized[i]) * c.Unit }
 
-// SumExpertCounts adds up what several ranks chose; nil if none of them knows. All must be of
-// one length.
+// SumExpertCounts adds up the counts of several ranks; nil if the list contains none. Counts of a
+// length other than that of the first are skipped.
 func SumExpertCounts(list []*ExpertCounts) *ExpertCounts {
 	var sum []float64
-	for _, p := range list {
-		if p == nil || sum != nil && len(p.Quantized) != len(sum) {
+	for _, c := range list {
+		if c == nil || sum != nil && len(c.Quantized) != len(sum) {
 			continue
 		}
 		if sum == nil {
-			sum = make([]float64, len(p.Quantized))
+			sum = make([]float64, len(c.Quantized))
 		}
 		for i := range sum {
-			sum[i] += p.Count(i)
+			sum[i] += c.Count(i)
 		}
 	}
 	if sum == nil {
 		return nil
 	}
-	numbers := make([]uint64, len(sum))
+	counts := make([]uint64, len(sum))
 	for i, x := range sum {
-		numbers[i] = uint64(math.Round(x))
+		counts[i] = uint64(math.Round(x))
 	}
-	return NewExpertCounts(numbers)
+	return NewExpertCounts(counts)
 }
--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -14,124 +14,128 @@
 
 // The calls between processes.
 const (
-	// ExchangeAdverts is made by entry boxes to each other: Advert for Advert.
+	// ExchangeAdverts sends an Advert from one entry box to another, which replies with its own.
 	ExchangeAdverts Method = "/entry/meet"
-	// Pull asks an entry box for news: PullQuery for Pulled.
+	// Pull requests from an entry box the configuration and the targets that the requester lacks:
+	// PullQuery, PullReply.
 	Pull Method = "/entry/pull"
-	// QueryHall asks an entry box of another data hall how the targets there do: HallQuery
-	// for HallReport.
+	// QueryHall requests from an entry box the status of the targets of its data hall, or of all
+	// targets that it has a status of: HallQuery, HallReport.
 	QueryHall Method = "/entry/survey"
-	// Permit asks the issuer of a service for permits: PermitQuery for PermitReply.
+	// Permit requests permits from the issuer of a service: PermitQuery, PermitReply.
 	Permit Method = "/entry/permit"
-	// Watch is made by entry boxes to agents: WatchQuery for RankReport.
+	// Watch requests from an agent the status of its engine: WatchQuery, RankReport. Entry boxes
+	// call it.
 	Watch Method = "/agent/watch"
-	// Read is made by agents to each other: ReadQuery for RankReport.
+	// Read requests from an agent the status of its engine: ReadQuery, RankReport. Agents of the
+	// same group call it.
 	Read Method = "/agent/read"
-	// SendOrder hands an order to a rank's agent, or to another process that gives it to
-	// the engine named: OrderCall for OrderReply.
+	// SendOrder sends an order to a rank's agent, or to a forwarder, which sends it on to the
+	// named engine: OrderCall, OrderReply.
 	SendOrder Method = "/agent/order"
-	// Gather asks an agent to read some ranks of its group for their coordinator:
-	// GatherQuery for Gathered.
+	// Gather has an agent read some ranks of its group for the coordinator: GatherQuery,
+	// GatherReply.
 	Gather Method = "/agent/gather"
-	// FanOut hands one order to many: DealCall for DealReply.
+	// FanOut has an agent or a forwarder send one order to many engines: FanOutCall, FanOutReply.
 	FanOut Method = "/agent/deal"
 )
 
-// Contact is an entry box that can be reached.
+// Contact is the address of an entry box.
 type Contact struct {
 	Box     domain.BoxID `json:"box"`
 	Address string       `json:"address"`
-	// Incarnation numbers the starts of its process; the later one counts.
+	// Incarnation numbers the starts of the box's process; the highest one is current.
 	Incarnation domain.Incarnation `json:"incarnation"`
-	// Age is how long before the message it was last heard.
+	// Age is the time from the last message of the box until this message was sent.
 	Age time.Duration `json:"ago"`
-	// Hall is where it stands, if that is known; an advert tells its sender's apart.
+	// Hall is the data hall of the box; empty if unknown, and for the sender of an advert, which
+	// has it in a field of its own.
 	Hall domain.HallName `json:"hall,omitempty"`
 }
 
-// Advert is what an entry box reports about itself and others.
+// Advert is the report of an entry box about itself and others.
 type Advert struct {
 	Self    Contact         `json:"self"`
 	Hall    domain.HallName `json:"hall"`
 	Leaving bool            `json:"leaving,omitempty"`
-	// Config is the edition of its configuration; Targets the position of the last change
-	// of a target that it knows.
+	// Config is the edition of the sender's configuration. Targets is the position of the last
+	// change in its list of targets.
 	Config  catalog.Edition `json:"config"`
 	Targets store.Position  `json:"targets"`
-	// LatestIncarnation is the incarnation under which the sender of an answer knew the asker
-	// before, so that one that started again can come after it.
+	// LatestIncarnation is set in replies: the incarnation of the requesting box that the replying
+	// box had before the request. A box that restarted chooses a higher one.
 	LatestIncarnation domain.Incarnation `json:"remembered,omitempty"`
-	// UpdateOnly reports that it is sent because something changed, and names no other boxes; nor
-	// does its answer.
+	// UpdateOnly reports that the advert is sent because of a change. Neither it nor the reply
+	// names other boxes.
 	UpdateOnly bool `json:"news,omitempty"`
-	// Peers are other boxes that it has learned of lately.
+	// Peers are other boxes of which the sender learned lately.
 	Peers []Contact `json:"known,omitempty"`
-	// FailureReports are those that count, of any box.
+	// FailureReports are the failure reports of all boxes that are in force.
 	FailureReports []FailureReport `json:"failures,omitempty"`
-	// LeavingTargets are targets that lately said, with an answer, that they are leaving.
+	// LeavingTargets are targets that lately announced in a response that they are leaving.
 	LeavingTargets []domain.InstanceID `json:"leavers,omitempty"`
-	// WorkObservations are what is known of works under which targets ended.
+	// WorkObservations are observations of work under which targets ended.
 	WorkObservations []WorkObservation `json:"works,omitempty"`
-	// Limits are what targets said of their limits.
+	// Limits are the limits that targets announced.
 	Limits []LimitReport `json:"limits,omitempty"`
-	// Share is how the sender shares limits; missing while it knows none.
+	// Share reports how the sender shares limits; nil while it has received no limits.
 	Share *ShareReport `json:"share,omitempty"`
-	// NeedsAllLimits reports that the sender has just started and was sent no limits yet, so that the answer
-	// is to name all, and has a share.
+	// NeedsAllLimits reports that the sender has just started and has received no limits yet. The
+	// reply then contains all limits and a share.
 	NeedsAllLimits bool `json:"blank,omitempty"`
 }
 
-// WorkObservation is that a target ended under a work, or that the work was served, so long before
-// the message. There may be a few dozen in an advert, so it is written without names of fields.
+// WorkObservation reports that a target ended while it executed a work, or that the work was served.
+// An advert contains up to a few dozen, so it is encoded as an array, without names of fields.
 type WorkObservation struct {
 	_      struct{} `cbor:",toarray"`
 	Digest call.Digest
-	Target domain.InstanceID // empty where the work was served
-	Age    time.Duration
+	Target domain.InstanceID // empty if the work was served
+	Age    time.Duration     // of the observation when the message is sent
 }
 
-// FailureReport is that a target let a box down so long before the message. There may be a
-// few dozen in an advert, so it is written without names of fields.
+// FailureReport reports that a target failed a request of a box. An advert contains up to a few
+// dozen, so it is encoded as an array, without names of fields.
 type FailureReport struct {
 	_      struct{} `cbor:",toarray"`
 	Target domain.InstanceID
-	By     domain.BoxID
-	Age    time.Duration
+	By     domain.BoxID  // the box whose request failed
+	Age    time.Duration // of the failure when the message is sent
 }
 
-// PullQuery reports what the asker has.
+// PullQuery states which data the requesting box has.
 type PullQuery struct {
 	Config  catalog.Edition `json:"config"`
 	Targets store.Position  `json:"targets"`
 }
 
-// Document is the configuration as the store keeps it.
+// Document is the configuration as stored by the platform.
 type Document struct {
 	At  store.Position `json:"at"`
 	Raw []byte         `json:"raw"`
 }
 
-// TargetUpdate is a line of a list of targets.
+// TargetUpdate is an entry of a list of targets.
 type TargetUpdate struct {
 	ID     domain.InstanceID    `json:"id"`
 	At     store.Position       `json:"at"`
-	Target *domain.TargetFields `json:"target,omitempty"` // nil if it is gone
+	Target *domain.TargetFields `json:"target,omitempty"` // nil if the target was removed
 }
 
-// PullReply is what is newer than what the asker has.
+// PullReply contains what is newer than the requesting box's data.
 type PullReply struct {
 	Config  *Document      `json:"config,omitempty"`
-	At      store.Position `json:"at"` // of the targets; zero if the asker has them all
+	At      store.Position `json:"at"` // of the list of targets; zero if the requesting box is up to date
 	Targets []TargetUpdate `json:"targets,omitempty"`
 }
 
-// NewTargetUpdates turns news into a message.
-func NewTargetUpdates(news []membership.TargetUpdate) []TargetUpdate {
-	list := make([]TargetUpdate, 0, len(news))
-	for _, n := range news {
-		t := TargetUpdate{ID: n.ID, At: n.At}
-		if n.Target != nil {
-			f := n.Target.Fields()
+// NewTargetUpdates encodes updates of targets.
+func NewTargetUpdates(updates []membership.TargetUpdate) []TargetUpdate {
+	list := make([]TargetUpdate, 0, len(updates))
+	for _, u := range updates {
+		t := TargetUpdate{ID: u.ID, At: u.At}
+		if u.Target != nil {
+			f := u.Target.Fields()
 			t.Target = &f
 		}
 		list = append(list, t)
@@ -139,78 +143,79 @@
 	return list
 }
 
-// TargetUpdates checks and gives back what ListOf took.
+// TargetUpdates decodes and validates the updates of targets.
 func (p *PullReply) TargetUpdates() ([]membership.TargetUpdate, error) {
 	list := make([]membership.TargetUpdate, 0, len(p.Targets))
 	for _, t := range p.Targets {
-		n := membership.TargetUpdate{ID: t.ID, At: t.At}
+		u := membership.TargetUpdate{ID: t.ID, At: t.At}
 		if t.Target != nil {
 			target, err := domain.NewTarget(*t.Target)
 			if err != nil {
 				return nil, err
 			}
-			n.Target = &target
+			u.Target = &target
 		}
-		list = append(list, n)
+		list = append(list, u)
 	}
 	return list, nil
 }
 
-// HallQuery asks an entry box for the reports of the targets that it asks itself.
+// HallQuery requests the status of the targets that an entry box queries itself.
 type HallQuery struct {
-	// All asks for what others told it, too: of the targets of other halls.
+	// All requests also the status of targets that the box received from other boxes, of other
+	// data halls too.
 	All bool `json:"all,omitempty"`
 }
 
-// HallReport is what an entry box learned of targets.
+// HallReport contains the status of targets as received by an entry box.
 type HallReport struct {
-	// FollowsStore reports that this box follows the store, which answers it, and will report what
-	// changes there.
+	// FollowsStore reports that the box follows the store, that the store is available, and that
+	// the box will report its changes.
 	FollowsStore bool           `json:"follows,omitempty"`
 	Targets      []TargetStatus `json:"targets"`
 }
 
-// TargetStatus is the last report of a target. It goes between data halls for
-// each target several times a second, so it is written without names of fields.
+// TargetStatus is the last status received of a target. One is sent between data halls for each
+// target several times a second, so it is encoded as an array, without names of fields.
 type TargetStatus struct {
 	_  struct{} `cbor:",toarray"`
 	ID domain.InstanceID
-	// Age is how long before the message the target was heard.
+	// Age is the time from the receipt of the status until this message was sent.
 	Age              time.Duration
 	Epoch            orders.Epoch
 	Open             bool
 	Step             orders.Step
 	Running, Waiting int
 	Slowdown         float32
-	// BoxUnresponsive reports that nothing came back from its box since.
+	// BoxUnresponsive reports that the target's box has not responded since.
 	BoxUnresponsive bool
 }
 
-// Member is a rank of a group, as entry boxes know it. A message has up to a hundred, so
-// it is written without names of fields.
+// Member is a rank of a group in the list of an entry box. A message contains up to a hundred, so it
+// is encoded as an array, without names of fields.
 type Member struct {
 	_        struct{}          `cbor:",toarray"`
 	Rank     int               `json:"rank"`
 	Instance domain.InstanceID `json:"instance"`
 	Target   string            `json:"target"` // address of the engine
-	Agent    string            `json:"agent"`  // address of the agent beside it
+	Agent    string            `json:"agent"`  // address of the agent on the engine's box
 	Hall     domain.HallName   `json:"hall,omitempty"`
 }
 
-// WatchQuery asks an agent how its engine does, and sends it now and then what an
-// agent cannot find out by itself.
+// WatchQuery requests the status of an agent's engine. From time to time it also contains data that an
+// agent has no other source for.
 type WatchQuery struct {
 	Epoch   orders.Epoch     `json:"epoch"`
-	Members []Member         `json:"members,omitempty"` // of its group in that epoch
+	Members []Member         `json:"members,omitempty"` // of the engine's group in the epoch
 	Shape   *rebalance.Shape `json:"shape,omitempty"`   // of the group's maps
-	// Forwarders are the addresses of the asking box and of some agents of other groups:
-	// processes on boxes without a rank of this group, which hand orders on for it.
+	// Forwarders are the addresses of the requesting box and of some agents of other groups:
+	// processes on boxes without a rank of this group, which forward orders for it.
 	Forwarders []string `json:"helpers,omitempty"`
 }
 
-// RankReport is how a rank does.
+// RankReport is the status of a rank.
 type RankReport struct {
-	// Born is when the engine's process started; 0 if it does not say.
+	// Born is the start time of the engine's process; 0 if the engine does not report it.
 	Born     domain.Born      `json:"born,omitempty"`
 	Group    domain.GroupName `json:"group"`
 	Rank     int              `json:"rank"`
@@ -221,36 +226,37 @@
 	Slowdown float64          `json:"pace"`
 	// Leaving reports whether the engine announces that it is leaving.
 	Leaving bool `json:"leaving,omitempty"`
-	// ExpertCounts is how often each expert was chosen by this rank's requests since the
-	// asker asked last; only where Read asks, and missing if that is not known.
+	// ExpertCounts states how often the requests of this rank selected each expert since the
+	// previous request of the same reader; only in replies to Read, and nil if unknown.
 	ExpertCounts *ExpertCounts `json:"picked,omitempty"`
-	// MembersEpoch is the epoch for which the agent knows who is in its group; only in answers
-	// to Watch.
+	// MembersEpoch is the epoch of the group's members that the agent has; only in replies to
+	// Watch.
 	MembersEpoch orders.Epoch `json:"knows,omitempty"`
-	// Experts are the experts of the map in use, by layer; only where Read asks.
+	// Experts are the rank's experts in the map in use, by layer; only in replies to Read.
 	Experts [][]int `json:"holds,omitempty"`
 }
 
-// ReadQuery asks for the state of a rank.
+// ReadQuery requests the status of a rank.
 type ReadQuery struct {
-	// From is the rank that asks.
+	// From is the requesting rank.
 	From int `json:"from"`
-	// WantExpertCounts asks for what was chosen, Holds for the map in use.
+	// WantExpertCounts requests the counts of selected experts, WantExperts the rank's experts in
+	// the map in use.
 	WantExpertCounts bool `json:"picked,omitempty"`
 	WantExperts      bool `json:"holds,omitempty"`
 }
 
-// OrderCall is an order for an engine. Exactly one of the orders is set.
+// OrderCall sends an order to an engine. Exactly one of the orders is set.
 type OrderCall struct {
-	// Engine is the address of the engine that is meant; empty for the one beside the
-	// agent.
+	// Engine is the address of the engine to forward the order to; empty for the receiving agent's
+	// own engine.
 	Engine  string          `json:"engine,omitempty"`
 	Epoch   orders.Epoch    `json:"epoch"`
 	Fence   orders.Fence    `json:"fence"`
 	Prepare *orders.Prepare `json:"prepare,omitempty"`
-	// Base is the version of a map that the agent was told before, and Rows what is
-	// different in the one to prepare, which then comes without its map; 0 if the map
-	// comes whole.
+	// Base is the version of a map that the agent received before; 0 if the order contains the
+	// whole map. Otherwise the order to prepare comes without its map, and Rows are the rows that
+	// differ from the base.
 	Base    orders.Version  `json:"base,omitempty"`
 	Rows    []orders.Row    `json:"rows,omitempty"`
 	Arm     *orders.Arm     `json:"arm,omitempty"`
@@ -259,7 +265,7 @@
 	Release *orders.Release `json:"release,omitempty"`
 }
 
-// NewOrderCall wraps an order for the wire.
+// NewOrderCall encodes an order.
 func NewOrderCall(c orders.Call) *OrderCall {
 	out := &OrderCall{Epoch: c.Epoch, Fence: c.Fence}
 	switch o := c.Order.(type) {
@@ -277,7 +283,7 @@
 	return out
 }
 
-// Order is the order of the call; nil if it has none.
+// Order returns the order of the call; nil if the call contains none.
 func (c *OrderCall) Order() orders.Order {
 	switch {
 	case c.Prepare != nil:
@@ -295,7 +301,7 @@
 	}
 }
 
-// OrderReply is what became of an order.
+// OrderReply is the result of an order.
 type OrderReply struct {
 	Result orders.Result `json:"result"`
 }
--- a/mesh/permits.go
+++ b/mesh/permits.go
@@ -8,72 +8,76 @@
 	"clovertrail.dev/ratelimit"
 )
 
-// LimitReport is what a target stated about its limit so long before the message. There may be a few
-// dozen in an advert, so it is written without names of fields.
+// LimitReport is the limit that a target announced. An advert contains up to a few dozen, so it is
+// encoded as an array, without names of fields.
 type LimitReport struct {
 	_      struct{} `cbor:",toarray"`
 	Target domain.InstanceID
-	// PerSecond is missing where the target reports that it has no limit any more.
+	// PerSecond is the limit in requests a second; nil if the target announced that it has no limit
+	// any more.
 	PerSecond *float64
-	Age       time.Duration
+	// Age is the time from the announcement until this message was sent. Ages are sent instead of
+	// times because boxes have no common clock.
+	Age time.Duration
 }
 
-// NewLimitReport turns a report into a message that is sent now.
-func NewLimitReport(now time.Time, w ratelimit.Report) LimitReport {
-	out := LimitReport{Target: w.Target, Age: now.Sub(w.At)}
-	if l, limited := w.Limit.(call.Limited); limited {
+// NewLimitReport encodes a report in a message that is sent at now.
+func NewLimitReport(now time.Time, r ratelimit.Report) LimitReport {
+	out := LimitReport{Target: r.Target, Age: now.Sub(r.At)}
+	if l, limited := r.Limit.(call.Limited); limited {
 		out.PerSecond = &l.PerSecond
 	}
 	return out
 }
 
-// Report is the report in a message that came now; false for one that no target can have made.
-func (w LimitReport) Report(now time.Time) (ratelimit.Report, bool) {
-	out := ratelimit.Report{Target: w.Target, Limit: call.Unlimited{}, At: now.Add(-w.Age)}
-	if w.PerSecond == nil {
-		return out, w.Age >= 0
+// Report decodes a report received at now; false if no target can have made it.
+func (r LimitReport) Report(now time.Time) (ratelimit.Report, bool) {
+	out := ratelimit.Report{Target: r.Target, Limit: call.Unlimited{}, At: now.Add(-r.Age)}
+	if r.PerSecond == nil {
+		return out, r.Age >= 0
 	}
-	l, ok := call.NewLimited(*w.PerSecond)
+	l, ok := call.NewLimited(*r.PerSecond)
 	out.Limit = l
-	return out, ok && w.Age >= 0
+	return out, ok && r.Age >= 0
 }
 
-// ShareReport is how a box shares limits with the others. It goes with every advert while there are
-// limits, so it is written without names of fields.
+// ShareReport states how a box shares limits with other boxes. Every advert contains one while there
+// are limits, so it is encoded as an array, without names of fields.
 type ShareReport struct {
 	_ struct{} `cbor:",toarray"`
-	// Boxes are how many share them, as it counts.
+	// Boxes is the number of boxes that share limits, as counted by the reporting box.
 	Boxes int
-	// UsesFallback reports that it goes by its own part, Settled that it has run long enough to be an issuer.
+	// UsesFallback reports that the box applies its fallback share of limits, Settled that it has
+	// run long enough to be an issuer.
 	UsesFallback, Settled bool
 }
 
-// PermitQuery asks the issuer of the service for permits for the first target that has any, in the
-// order of the wants.
+// PermitQuery requests permits from the issuer of the service, for the first of the targets in Limits
+// that has any.
 type PermitQuery struct {
 	Service domain.ServiceName `json:"service"`
-	// Limits are what the asker knows of the targets' limits. There is none where it only finds out
-	// whether the issuer answers.
+	// Limits are the limits of the targets that the requesting box has received, in order of
+	// preference. It is empty if the box only probes whether the issuer answers.
 	Limits []LimitReport `json:"wants,omitempty"`
 }
 
-// PermitReply is what the asker gets.
+// PermitReply is the reply to a PermitQuery.
 type PermitReply struct {
-	// Issuer reports that the box is the issuer, as far as it knows; else it hands out nothing.
+	// Issuer reports that the box considers itself the issuer; otherwise it grants no permits.
 	Issuer  bool              `json:"issuer"`
-	Target  domain.InstanceID `json:"target,omitempty"` // empty if there is no permit
+	Target  domain.InstanceID `json:"target,omitempty"` // empty if no permit is granted
 	Permits int               `json:"permits,omitempty"`
 	Turns   []PermitTurn      `json:"turns,omitempty"`
 }
 
-// PermitTurn is after how long the asker may get a permit for a target.
+// PermitTurn states when the requesting box may next be granted a permit for a target.
 type PermitTurn struct {
 	_      struct{} `cbor:",toarray"`
 	Target domain.InstanceID
-	Wait   time.Duration
+	Wait   time.Duration // from the sending of the message
 }
 
-// NewPermitReply turns a grant into a message that is sent now.
+// NewPermitReply encodes a grant in a message that is sent at now.
 func NewPermitReply(now time.Time, g ratelimit.Grant) *PermitReply {
 	r := &PermitReply{Issuer: true, Target: g.Target, Permits: g.Permits}
 	for _, t := range g.Turns {
@@ -82,7 +86,7 @@
 	return r
 }
 
-// Grant is the grant in a message that came now.
+// Grant decodes a grant received at now.
 func (r *PermitReply) Grant(now time.Time) ratelimit.Grant {
 	g := ratelimit.Grant{Target: r.Target, Permits: r.Permits}
 	for _, t := range r.Turns {
--- a/mesh/server.go
+++ b/mesh/server.go
@@ -11,10 +11,10 @@
 	"clovertrail.dev/mapswitch/orders"
 )
 
-// Method names a call.
+// Method is the path of a call.
 type Method string
 
-// Mux finds the handler of a call. Register all handlers before serving.
+// Mux routes calls to handlers. All handlers must be registered before it serves.
 type Mux struct {
 	handlers map[string]func(drpc.Stream) error
 }
@@ -37,18 +37,18 @@
 	}
 }
 
-// Codes of errors that the caller distinguishes.
+// Codes of errors that callers distinguish.
 const (
-	unknownMethod = 1 // the call has no handler here
-	unknownBase   = 2 // a map was told from one that is not known here
+	unknownMethod = 1 // no handler is registered for the call
+	unknownBase   = 2 // the receiver lacks the base map of the sent changes
 )
 
-// UnknownBase is the error for a map that is sent as changes of one that is not known here.
+// UnknownBase returns the error of a receiver that lacks the base map of the sent changes.
 func UnknownBase(base orders.Version) error {
-	return drpcerr.WithCode(drpc.Error.New("the map %d, from which another is told, is not known here", base), unknownBase)
+	return drpcerr.WithCode(drpc.Error.New("changes of map %d received without having that map", base), unknownBase)
 }
 
-// IsUnknownBase reports that the other process lacks the map of which changes were sent.
+// IsUnknownBase reports whether the receiver lacked the base map of the sent changes.
 func IsUnknownBase(err error) bool { return drpcerr.Code(err) == unknownBase }
 
 // HandleRPC implements drpc.Handler.
--- a/node/adverts.go
+++ b/node/adverts.go
@@ -103,7 +103,7 @@
 	return l
 }
 
-// meet implements mesh.Meet.
+// meet implements mesh.ExchangeAdverts.
 func (p *peering) meet(_ context.Context, a *mesh.Advert) (*mesh.Advert, error) {
 	p.mu.Lock()
 	before := p.boxes.LatestIncarnation(a.Self.Box)
--- a/node/surveying.go
+++ b/node/surveying.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// survey implements mesh.Survey.
+// survey implements mesh.QueryHall.
 func (s *surveying) survey(_ context.Context, q *mesh.HallQuery) (*mesh.HallReport, error) {
 	r := s.sightings.Latest(clock.Now(), q.All)
 	s.mu.Lock()
--- a/node/telling/doc.go
+++ b/node/telling/doc.go
@@ -11,7 +11,7 @@
 // # Usage
 //
 //	told := telling.NewTold()                  // at the coordinator
-//	call = told.Shorten(rank, mesh.CallOf(order))
+//	call = told.Shorten(rank, mesh.NewOrderCall(order))
 //	told.Took(rank, prepare, err)              // as the rank's agent answered
 //
 //	maps := telling.NewPlacements()            // at every agent
