--- a/mesh/fuzz_test.go
+++ b/mesh/fuzz_test.go
@@ -12,8 +12,8 @@
 	"clovertrail.dev/mesh"
 )
 
-// FuzzMessages decodes any bytes as each message that another process may send, and takes
-// it apart as its receivers do.
+// FuzzMessages decodes arbitrary bytes as each message that another process may send, and converts the
+// messages as receivers do.
 func FuzzMessages(f *testing.F) {
 	hold := orders.Step(7)
 	for _, m := range []any{
@@ -33,12 +33,12 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var pulled mesh.PullReply
-		if cbor.Unmarshal(raw, &pulled) == nil {
-			news, err := pulled.TargetUpdates()
-			for _, n := range news {
-				if err == nil && n.Target != nil && n.Target.Address() == "" {
-					t.Errorf("%x: a target without an address", raw)
+		var reply mesh.PullReply
+		if cbor.Unmarshal(raw, &reply) == nil {
+			updates, err := reply.TargetUpdates()
+			for _, u := range updates {
+				if err == nil && u.Target != nil && u.Target.Address() == "" {
+					t.Errorf("%x: a target without an address was accepted", raw)
 				}
 			}
 		}
@@ -46,9 +46,9 @@
 		if cbor.Unmarshal(raw, &report) == nil && report.ExpertCounts != nil {
 			mesh.SumExpertCounts([]*mesh.ExpertCounts{report.ExpertCounts, nil, mesh.NewExpertCounts([]uint64{1, 2})})
 		}
-		var word mesh.RankStatus
-		if cbor.Unmarshal(raw, &word) == nil {
-			word.Report()
+		var status mesh.RankStatus
+		if cbor.Unmarshal(raw, &status) == nil {
+			status.Report()
 		}
 		var order mesh.OrderCall
 		if cbor.Unmarshal(raw, &order) == nil && order.Order() != nil {
@@ -56,21 +56,21 @@
 		}
 		checkLimits(t, raw)
 		for _, m := range []any{&mesh.PermitReply{}, &mesh.Advert{}, &mesh.HallReport{}, &mesh.GatherReply{}, &mesh.WatchQuery{}, &mesh.FanOutCall{}} {
-			_ = cbor.Unmarshal(raw, m) // refused or read, but never a panic
+			_ = cbor.Unmarshal(raw, m) // may fail, but must not panic
 		}
 	})
 }
 
-// checkLimits looks that no limit is taken that no target can mean.
+// checkLimits verifies that no limit is accepted that no target can announce.
 func checkLimits(t *testing.T, raw []byte) {
 	var query mesh.PermitQuery
 	if cbor.Unmarshal(raw, &query) != nil {
 		return
 	}
-	for _, w := range query.Limits {
-		word, ok := w.Report(time.Unix(1000, 0))
-		if l, limited := word.Limit.(call.Limited); ok && limited && !(l.PerSecond >= 0 && l.PerSecond < 1e9) {
-			t.Errorf("%x: a limit of %v a second", raw, l.PerSecond)
+	for _, r := range query.Limits {
+		report, ok := r.Report(time.Unix(1000, 0))
+		if l, limited := report.Limit.(call.Limited); ok && limited && !(l.PerSecond >= 0 && l.PerSecond < 1e9) {
+			t.Errorf("%x: a limit of %v a second was accepted", raw, l.PerSecond)
 		}
 	}
 }
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -16,7 +16,7 @@
 	"clovertrail.dev/store"
 )
 
-// serve runs a server with the handlers and gives its address.
+// serve runs a server with the handlers and returns its address.
 func serve(t *testing.T, m *mesh.Mux) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,13 +45,13 @@
 	return c
 }
 
-func within(t *testing.T) context.Context {
+func callContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func TestCalls(t *testing.T) {
+func TestCallsReturnRepliesAndErrors(t *testing.T) {
 	m := mesh.NewMux()
 	mesh.Handle(m, mesh.ExchangeAdverts, func(_ context.Context, a *mesh.Advert) (*mesh.Advert, error) {
 		a.Hall += "!"
@@ -61,24 +61,24 @@
 		return nil, errors.New("no")
 	})
 	address, client := serve(t, m), newClient(t)
-	for range 3 { // over a kept connection too
-		got, err := mesh.Call[mesh.Advert, mesh.Advert](within(t), client, address, mesh.ExchangeAdverts, &mesh.Advert{Hall: "near", Config: catalog.Edition{Version: 7, At: pos(8)}})
+	for range 3 { // the first call opens a connection, the others reuse it
+		got, err := mesh.Call[mesh.Advert, mesh.Advert](callContext(t), client, address, mesh.ExchangeAdverts, &mesh.Advert{Hall: "near", Config: catalog.Edition{Version: 7, At: pos(8)}})
 		if err != nil || got.Hall != "near!" || got.Config != (catalog.Edition{Version: 7, At: pos(8)}) {
 			t.Fatalf("got %+v, %v", got, err)
 		}
 	}
-	if _, err := mesh.Call[mesh.PullQuery, mesh.PullReply](within(t), client, address, mesh.Pull, &mesh.PullQuery{}); err == nil {
-		t.Error("the handler's error was lost")
+	if _, err := mesh.Call[mesh.PullQuery, mesh.PullReply](callContext(t), client, address, mesh.Pull, &mesh.PullQuery{}); err == nil {
+		t.Error("no error from a call whose handler failed")
 	}
-	if _, err := mesh.Call[mesh.ReadQuery, mesh.RankReport](within(t), client, address, mesh.Read, &mesh.ReadQuery{}); err == nil {
-		t.Error("a call without a handler was answered")
+	if _, err := mesh.Call[mesh.ReadQuery, mesh.RankReport](callContext(t), client, address, mesh.Read, &mesh.ReadQuery{}); err == nil {
+		t.Error("no error from a call without a handler")
 	}
-	if _, err := mesh.Call[mesh.Advert, mesh.Advert](within(t), client, address, mesh.ExchangeAdverts, &mesh.Advert{}); err != nil {
-		t.Errorf("after errors: %v", err)
+	if _, err := mesh.Call[mesh.Advert, mesh.Advert](callContext(t), client, address, mesh.ExchangeAdverts, &mesh.Advert{}); err != nil {
+		t.Errorf("call after failed calls: %v", err)
 	}
 }
 
-func TestOrdersGoThroughTheWire(t *testing.T) {
+func TestOrderCallRoundTrip(t *testing.T) {
 	m := mesh.NewMux()
 	var got orders.Order
 	mesh.Handle(m, mesh.SendOrder, func(_ context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
@@ -90,17 +90,17 @@
 		orders.Prepare{Version: 3, Map: orders.Placement{{{0, 1}, {1}}}}, orders.Arm{Version: 3, Step: 9},
 		orders.Disarm{Version: 3}, orders.Hold{Step: 9}, orders.Release{Step: 9},
 	} {
-		reply, err := mesh.Call[mesh.OrderCall, mesh.OrderReply](within(t), client, address, mesh.SendOrder, mesh.NewOrderCall(orders.Call{Epoch: 2, Order: o}))
+		reply, err := mesh.Call[mesh.OrderCall, mesh.OrderReply](callContext(t), client, address, mesh.SendOrder, mesh.NewOrderCall(orders.Call{Epoch: 2, Order: o}))
 		if err != nil || reply.Result != orders.Refused || !reflect.DeepEqual(got, o) {
-			t.Errorf("%T arrived as %+v, answered %+v, %v", o, got, reply, err)
+			t.Errorf("%T received as %+v; reply %+v, %v", o, got, reply, err)
 		}
 	}
 	if (&mesh.OrderCall{}).Order() != nil {
-		t.Error("a call without an order has one")
+		t.Error("a call without an order returned an order")
 	}
 }
 
-func TestNewsGoesThroughTheWireAndIsChecked(t *testing.T) {
+func TestTargetUpdatesRoundTripAndValidation(t *testing.T) {
 	target, err := domain.NewTarget(domain.TargetFields{
 		ID: "i-1", Service: "s", Address: "10.0.0.1:80", Hall: "near", State: domain.TargetReady, Slots: 4,
 		Rank: &domain.Rank{Group: "g", Epoch: 2, Number: 1, Size: 2, Open: true},
@@ -108,17 +108,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	news := []membership.TargetUpdate{{ID: "i-1", At: pos(9), Target: &target}, {ID: "i-2", At: pos(10)}}
-	p := &mesh.PullReply{At: pos(10), Targets: mesh.NewTargetUpdates(news)}
-	back, err := p.TargetUpdates()
-	if err != nil || !reflect.DeepEqual(back, news) {
-		t.Errorf("got %+v, %v", back, err)
+	updates := []membership.TargetUpdate{{ID: "i-1", At: pos(9), Target: &target}, {ID: "i-2", At: pos(10)}}
+	p := &mesh.PullReply{At: pos(10), Targets: mesh.NewTargetUpdates(updates)}
+	decoded, err := p.TargetUpdates()
+	if err != nil || !reflect.DeepEqual(decoded, updates) {
+		t.Errorf("got %+v, %v", decoded, err)
 	}
 	p.Targets[0].Target.Address = ""
 	if _, err := p.TargetUpdates(); err == nil {
-		t.Error("a target without an address was taken")
+		t.Error("a target without an address was accepted")
 	}
 }
 
-// pos is the position of the revision in the first era.
+// pos returns the position of the revision in the first era.
 func pos(rev store.Revision) store.Position { return store.PositionOf(1, rev) }
