--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -134,7 +134,7 @@
 	return a.handleResponse(ctx, resp)
 }
 
-// connectionReuse returns Fresh for requests that may run only once: on a kept connection that its
+// connectionReuse returns DialNew for requests that may run only once: on a kept connection that its
 // target has already dropped, such a request would be lost and could not be repeated.
 func (a *attempt) connectionReuse() transport.Reuse {
 	if a.d.req.route.MayRepeat() {
--- a/transport/dial.go
+++ b/transport/dial.go
@@ -9,28 +9,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dialer opens a connection to host:port. Tests put a network of their own in its
-// place.
+// Dialer opens a connection to host:port. Tests replace it with a simulated network.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Timeouts bounds how long a dead peer goes unnoticed.
+// Timeouts bound the time until a dead peer is detected.
 type Timeouts struct {
 	// Connect bounds the opening of a connection.
 	Connect time.Duration
-	// DeadPeer is how long sent bytes may stay unacknowledged, and how long an idle
-	// peer may leave probes unanswered, before the connection is given up.
+	// DeadPeer is how long sent bytes may remain unacknowledged, and how long an idle peer may
+	// leave keep-alive probes unanswered, before the connection is closed.
 	DeadPeer time.Duration
 }
 
-// probes is how many keep-alive probes fit into the time of an unheard peer.
-const probes = 3
+// keepAliveIntervals is the number of intervals between keep-alive probes within Timeouts.DeadPeer.
+const keepAliveIntervals = 3
 
-// Dial returns a Dialer of the real network.
+// Dial returns a Dialer of the machine's network.
 func Dial(t Timeouts) Dialer {
 	d := net.Dialer{
 		Timeout: t.Connect,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: t.DeadPeer / probes, Interval: t.DeadPeer / probes, Count: probes - 1,
+			Enable: true, Idle: t.DeadPeer / keepAliveIntervals, Interval: t.DeadPeer / keepAliveIntervals, Count: keepAliveIntervals - 1,
 		},
 		Control: func(_, _ string, c syscall.RawConn) error { return setUserTimeout(c, t.DeadPeer) },
 	}
@@ -39,23 +38,24 @@
 	}
 }
 
+// setUserTimeout bounds how long sent bytes may remain unacknowledged.
 func setUserTimeout(c syscall.RawConn, d time.Duration) error {
-	var failed error
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
-// quiet reports whether nothing waits to be read on an idle connection, not even its
-// end. It does not block.
-func quiet(c net.Conn) bool {
+// nothingToRead reports whether an idle connection has neither data nor its end to read. It does not
+// block.
+func nothingToRead(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return true // a network of a test
+		return true // a connection of a simulated network
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
--- a/transport/doc.go
+++ b/transport/doc.go
@@ -1,19 +1,18 @@
-// Package transport carries single HTTP/1.1 requests to targets over connections
-// that it keeps, with the codec of net/http.
+// Package transport sends single HTTP/1.1 requests to targets over a pool of connections, with the
+// codec of net/http.
 //
-// It is not http.Transport because a load balancer must know things that one
-// hides: whether any byte of a request left the box, which alone allows to report that
-// it did not run; that nothing is ever sent twice behind its back; and that an
-// answer that comes where another was due belongs to a request before it, and the
-// right one may follow. A connection serves one request at a time. One on which
-// anything unexpected is waiting is not used again.
+// It does not use http.Transport because a load balancer needs guarantees that http.Transport does not
+// give. It must know whether any byte of a request left the box: only if none did can it report that
+// the request was not executed. No request may be sent twice without its knowledge. And a response that
+// belongs to an earlier request must be skipped, since the awaited response may follow it. A connection
+// serves one request at a time. A connection with unexpected data to read is not used again.
 //
 // # Usage
 //
-//	p := transport.NewPool(transport.Dial(settings), limits)
-//	x, err := p.Open(ctx, "10.1.0.42:8446", transport.Fresh)
+//	p := transport.NewPool(transport.Dial(timeouts), settings)
+//	x, err := p.Open(ctx, "10.1.0.42:8446", transport.DialNew)
 //	err = x.Send(req)               // x.Sent reports whether a byte left
-//	resp, err := x.Receive(func(r *http.Response) bool { return r.Header.Get("X") == id })
+//	resp, err := x.Receive(req, func(r *http.Response) bool { return r.Header.Get("X") == id })
 //	... read resp.Body ...
-//	x.Close()                       // keeps the connection if it is clean
+//	x.Close()                       // returns the connection to the pool if it is clean
 package transport
--- a/transport/exchange.go
+++ b/transport/exchange.go
@@ -11,80 +11,79 @@
 	"clovertrail.dev/core/clock"
 )
 
-// Exchange is one request and its answer over one connection. One goroutine uses
-// it; only Cut may be called from others.
+// Exchange is one request and its response over one connection. Only one goroutine may use it; another
+// may end the context given to CloseWhenDone.
 type Exchange struct {
-	pool   *Pool
-	conn   *conn
-	reused bool
-	answer *http.Response
-	whole  bool // the answer's body was read to its end
-	cut    func() bool
+	pool        *Pool
+	conn        *conn
+	reused      bool
+	response    *http.Response
+	complete    bool        // the response body was read to its end
+	stopClosing func() bool // set by CloseWhenDone
 }
 
-// errSurplus reports that more came than one connection may bring.
-var errSurplus = errors.New("too many answers to other requests on the connection")
+var errForeignResponses = errors.New("received only responses to other requests")
 
-// surplusAnswers bounds the answers to other requests that are passed over.
-const surplusAnswers = 4
+// maxResponses limits the responses that are read on a connection until the awaited one.
+const maxResponses = 4
 
-// Reused reports that the connection had served an earlier request.
+// Reused reports whether the connection had served an earlier request.
 func (x *Exchange) Reused() bool { return x.reused }
 
-// Sent reports that a byte of the request may have left this box.
+// Sent reports whether a byte of the request may have left this box.
 func (x *Exchange) Sent() bool { return x.conn.sent }
 
-// CloseWhenDone closes the connection once ctx ends, so that the target stops working.
+// CloseWhenDone closes the connection when ctx ends, so that the target stops processing the request.
 func (x *Exchange) CloseWhenDone(ctx context.Context) {
-	x.cut = context.AfterFunc(ctx, x.conn.close)
+	x.stopClosing = context.AfterFunc(ctx, x.conn.close)
 }
 
 // Send writes the request with its body.
 func (x *Exchange) Send(r *http.Request) error {
-	w := &markingWriter{conn: x.conn}
+	w := &sentTracker{conn: x.conn}
 	return r.Write(w)
 }
 
-// markingWriter notes that a byte may have left.
-type markingWriter struct{ conn *conn }
+// sentTracker writes to a connection and records whether a byte may have left.
+type sentTracker struct{ conn *conn }
 
-func (w *markingWriter) Write(b []byte) (int, error) {
+func (w *sentTracker) Write(b []byte) (int, error) {
 	w.conn.sent = true
 	n, err := w.conn.net.Write(b)
-	if n == 0 && err != nil && refused(err) {
+	if n == 0 && err != nil && closedBeforeWrite(err) {
 		w.conn.sent = false
 	}
 	return n, err
 }
 
-// refused reports that the connection was closed before the write began.
-func refused(err error) bool { return errors.Is(err, net.ErrClosed) }
+// closedBeforeWrite reports whether the connection was closed before the write began.
+func closedBeforeWrite(err error) bool { return errors.Is(err, net.ErrClosed) }
 
-// Receive reads answers until one is mine. Those before it belong to earlier
-// requests and are passed over.
-func (x *Exchange) Receive(r *http.Request, mine func(*http.Response) bool) (*http.Response, error) {
-	for range surplusAnswers {
-		resp, err := x.next(r)
+// Receive reads responses until isOwn accepts one. Responses before it belong to earlier requests and
+// are skipped.
+func (x *Exchange) Receive(r *http.Request, isOwn func(*http.Response) bool) (*http.Response, error) {
+	for range maxResponses {
+		resp, err := x.readResponse(r)
 		if err != nil {
 			return nil, err
 		}
-		if mine(resp) {
-			x.answer = resp
-			resp.Body = &wholeBody{ReadCloser: resp.Body, exchange: x}
+		if isOwn(resp) {
+			x.response = resp
+			resp.Body = &trackedBody{ReadCloser: resp.Body, exchange: x}
 			return resp, nil
 		}
 		if resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return nil, errSurplus // nothing can follow it
+			return nil, errForeignResponses // no other response can follow
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errSurplus
+	return nil, errForeignResponses
 }
 
-// next reads one answer, without the interim ones before it.
-func (x *Exchange) next(r *http.Request) (*http.Response, error) {
+// readResponse reads one final response and skips the interim responses before it.
+func (x *Exchange) readResponse(r *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(x.conn.read, r)
 		if err != nil {
@@ -96,39 +95,39 @@
 	}
 }
 
-// wholeBody notes that the answer's end was reached.
-type wholeBody struct {
+// trackedBody records that the body was read to its end.
+type trackedBody struct {
 	io.ReadCloser
 	exchange *Exchange
 }
 
-func (b *wholeBody) Read(p []byte) (int, error) {
+func (b *trackedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.exchange.whole = true
+		b.exchange.complete = true
 	}
 	return n, err
 }
 
-// Close does nothing: the connection is the exchange's to close. The body that
-// net/http gives would first read what is left, which on a stream may take long.
-func (b *wholeBody) Close() error { return nil }
+// Close does nothing, since the exchange closes the connection. Close of the body of net/http would read
+// the rest of the body first, which may take long on a stream.
+func (b *trackedBody) Close() error { return nil }
 
-// Buffered reports how many bytes of the answer have come and are not read yet.
+// Buffered returns the number of bytes of the response that were received but not yet read.
 func (x *Exchange) Buffered() int { return x.conn.read.Buffered() }
 
-// Close ends the exchange. The connection is kept if the answer was whole, nothing
-// follows it, and the target keeps it too.
+// Close ends the exchange. The connection returns to the pool if the response was read to its end, no
+// data follows it, and the target keeps the connection open too.
 func (x *Exchange) Close() {
-	stopped := x.cut == nil || x.cut()
-	keep := time.Duration(0)
-	if stopped && x.whole && x.conn.read.Buffered() == 0 {
-		keep = x.pool.keepFor(x.answer)
+	stopped := x.stopClosing == nil || x.stopClosing()
+	idle := time.Duration(0)
+	if stopped && x.complete && x.conn.read.Buffered() == 0 {
+		idle = x.pool.idleTimeFor(x.response)
 	}
-	if keep <= 0 {
+	if idle <= 0 {
 		x.conn.close()
 		return
 	}
 	x.conn.sent = false
-	x.pool.put(x.conn, clock.Now().Add(keep))
+	x.pool.put(x.conn, clock.Now().Add(idle))
 }
--- a/transport/pool.go
+++ b/transport/pool.go
@@ -13,67 +13,66 @@
 	"clovertrail.dev/core/clock"
 )
 
-// Reuse reports which connections a request may take.
+// Reuse states which connections a request may use.
 type Reuse int
 
-// The ways of reuse.
 const (
-	// ReuseIdle takes a kept connection if there is one.
+	// ReuseIdle uses an idle connection if there is one.
 	ReuseIdle Reuse = iota
-	// DialNew opens a new connection, for requests that must not be lost to one that
-	// the target has silently forgotten.
+	// DialNew opens a new connection, for requests that must not be lost on a connection that the
+	// target has dropped without notice.
 	DialNew
 )
 
-// Settings hold the times of a Pool.
+// Settings hold the limits of a Pool.
 type Settings struct {
-	// IdleTimeout is how long a connection rests before it is closed, where the target does
-	// not say less.
+	// IdleTimeout is how long an idle connection stays open, unless the target announces a shorter
+	// time.
 	IdleTimeout time.Duration
-	// KeepAliveMargin is how long before the end that a target tells a connection is no longer
-	// used.
+	// KeepAliveMargin is subtracted from the time for which a target announces to keep a
+	// connection open.
 	KeepAliveMargin time.Duration
-	// MaxIdlePerTarget is how many idle connections are kept to one target.
+	// MaxIdlePerTarget limits the idle connections to one target.
 	MaxIdlePerTarget int
 }
 
-// DefaultSettings returns the usual settings: targets commonly keep idle connections for five seconds or more,
-// and a second covers clocks and the way there.
+// DefaultSettings returns the default settings. Targets commonly keep idle connections open for five
+// seconds or more, and a margin of a second covers differences of clocks and network latency.
 func DefaultSettings() Settings {
 	return Settings{IdleTimeout: 4 * time.Second, KeepAliveMargin: time.Second, MaxIdlePerTarget: 16}
 }
 
-// Pool keeps connections to targets. Its methods may be called from any goroutine.
+// Pool keeps idle connections to targets. It is safe for concurrent use.
 type Pool struct {
 	dial     Dialer
 	settings Settings
 
-	mu    sync.Mutex
-	idle  map[string][]*conn // by address; the last used is last
-	looks map[string]*look   // by address
+	mu            sync.Mutex
+	idle          map[string][]*conn       // by address; most recently used last
+	processChecks map[string]*processCheck // by address
 }
 
-// conn is one connection.
+// conn is a connection to a target.
 type conn struct {
-	net     net.Conn
-	address string
-	read    *bufio.Reader
-	until   time.Time // when it is too old to be used, while idle
-	sent    bool      // a byte of the current request may have left
+	net       net.Conn
+	address   string
+	read      *bufio.Reader
+	idleUntil time.Time // while idle: until when the connection may be used again
+	sent      bool      // a byte of the current request may have left
 }
 
 // NewPool returns an empty pool.
 func NewPool(d Dialer, s Settings) *Pool {
-	return &Pool{dial: d, settings: s, idle: map[string][]*conn{}, looks: map[string]*look{}}
+	return &Pool{dial: d, settings: s, idle: map[string][]*conn{}, processChecks: map[string]*processCheck{}}
 }
 
-// readBuffer fits the head of an answer and some events of a stream.
-const readBuffer = 2 << 10
+// readBufferBytes fits the header of a response and some events of a stream.
+const readBufferBytes = 2 << 10
 
-// Open gives an exchange over a connection to the address.
+// Open returns an exchange over a connection to the address.
 func (p *Pool) Open(ctx context.Context, address string, reuse Reuse) (*Exchange, error) {
 	if reuse == ReuseIdle {
-		if c := p.take(address); c != nil {
+		if c := p.takeIdle(address); c != nil {
 			return &Exchange{pool: p, conn: c, reused: true}, nil
 		}
 	}
@@ -90,23 +89,25 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{net: n, address: address, read: bufio.NewReaderSize(n, readBuffer)}, nil
+	return &conn{net: n, address: address, read: bufio.NewReaderSize(n, readBufferBytes)}, nil
 }
 
-// take gives the idle connection that was used last, if it is still good.
-func (p *Pool) take(address string) *conn {
+// takeIdle returns the most recently used idle connection that is still usable; nil if there is none.
+// It closes unusable ones.
+func (p *Pool) takeIdle(address string) *conn {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			return nil
 		}
-		if clock.Now().Before(c.until) && c.read.Buffered() == 0 && quiet(c.net) {
+		if clock.Now().Before(c.idleUntil) && c.read.Buffered() == 0 && nothingToRead(c.net) {
 			return c
 		}
 		c.close()
 	}
 }
 
+// pop removes and returns the most recently used idle connection; nil if there is none.
 func (p *Pool) pop(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,9 +121,10 @@
 	return c
 }
 
-// put keeps the connection until the time.
+// put adds the connection to the idle ones until the given time; it closes the connection if there are
+// too many.
 func (p *Pool) put(c *conn, until time.Time) {
-	c.until = until
+	c.idleUntil = until
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[c.address]) >= p.settings.MaxIdlePerTarget {
@@ -132,14 +134,14 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes idle connections that are too old. It is to be called now and then.
+// Sweep closes idle connections whose time has run out. It must be called periodically.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
 				c.close()
@@ -166,20 +168,20 @@
 	clear(p.idle)
 }
 
-// close ignores the error: the connection is not used any more either way.
+// close closes the connection. It ignores the error, since the connection is not used again either way.
 func (c *conn) close() { _ = c.net.Close() }
 
-// keepFor is how long the connection may rest after the answer; zero for not at all.
-func (p *Pool) keepFor(r *http.Response) time.Duration {
+// idleTimeFor returns how long the connection may stay idle after the response; zero if it must be closed.
+func (p *Pool) idleTimeFor(r *http.Response) time.Duration {
 	if r.Close {
 		return 0
 	}
-	keep := p.settings.IdleTimeout
+	idle := p.settings.IdleTimeout
 	for field := range strings.SplitSeq(r.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			keep = min(keep, time.Duration(seconds)*time.Second-p.settings.KeepAliveMargin)
+			idle = min(idle, time.Duration(seconds)*time.Second-p.settings.KeepAliveMargin)
 		}
 	}
-	return max(keep, 0)
+	return max(idle, 0)
 }
--- a/transport/ended_test.go
+++ b/transport/process_check_test.go
@@ -14,9 +14,9 @@
 	"clovertrail.dev/transport"
 )
 
-// TestAnEndedProcessRefusesConnections: only that counts, and a box that reports nothing, or a
-// process that still listens, does not.
-func TestAnEndedProcessRefusesConnections(t *testing.T) {
+// Only refused connections show that a process ended: a box that does not respond, or a process that
+// still listens, does not.
+func TestProcessEndedOnlyOnRefusedConnections(t *testing.T) {
 	for name, tc := range map[string]struct {
 		dial transport.Dialer
 		want bool
@@ -36,22 +36,22 @@
 	} {
 		p := transport.NewPool(tc.dial, transport.DefaultSettings())
 		if got := p.ProcessEnded(t.Context(), "a:1", ""); got != tc.want {
-			t.Errorf("%s: ended %v", name, got)
+			t.Errorf("%s: ended = %v", name, got)
 		}
 		p.Close()
 	}
 }
 
-// TestACutWayRefusesToo: seen on a hall whose links were cut with refusals, where all its boxes
-// took all targets of the others for ended, and put what these had run into quarantine.
-func TestACutWayRefusesToo(t *testing.T) {
+// When the links of a data hall are cut so that connections are refused, its boxes must not consider
+// the targets of other halls ended and quarantine the work of these targets.
+func TestProcessEndedRequiresWitness(t *testing.T) {
 	for name, tc := range map[string]struct {
 		witness string
 		want    bool
 	}{
-		"a process beside it takes connections": {"beside:1", true},
-		"nothing there does":                    {"gone:1", false},
-		"nobody is there to tell":               {"", true},
+		"witness accepts connections": {"beside:1", true},
+		"witness refuses connections": {"gone:1", false},
+		"no witness":                  {"", true},
 	} {
 		p := transport.NewPool(func(_ context.Context, address string) (net.Conn, error) {
 			if address == "beside:1" {
@@ -61,18 +61,18 @@
 			return nil, syscall.ECONNREFUSED
 		}, transport.DefaultSettings())
 		if got := p.ProcessEnded(t.Context(), "a:1", tc.witness); got != tc.want {
-			t.Errorf("%s: ended %v", name, got)
+			t.Errorf("%s: ended = %v", name, got)
 		}
 	}
 }
 
-// TestATargetMayEndRightAfterALook: that it lived a moment ago, as when another request was cut
-// off, reports nothing about now.
-func TestATargetMayEndRightAfterALook(t *testing.T) {
+// A target may end right after a check found it alive, for example the check for another request that
+// was cut off. The result of that check must not hide the end.
+func TestAliveResultExpiresBeforeNextCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lives := true
+		alive := true
 		p := transport.NewPool(func(context.Context, string) (net.Conn, error) {
-			if !lives {
+			if !alive {
 				return nil, syscall.ECONNREFUSED
 			}
 			c, _ := net.Pipe()
@@ -80,19 +80,19 @@
 		}, transport.DefaultSettings())
 		defer p.Close()
 		if p.ProcessEnded(t.Context(), "a:1", "") {
-			t.Error("ended while it lives")
+			t.Error("reported ended while the process listens")
 		}
-		lives = false
+		alive = false
 		time.Sleep(50 * time.Millisecond)
 		if !p.ProcessEnded(t.Context(), "a:1", "") {
-			t.Error("that it lived a moment ago hides that it ended")
+			t.Error("an earlier result hides that the process ended")
 		}
 	})
 }
 
-// TestManyLookOnce: all requests of a target break off as it ends. They share one look, and
-// a connection that it opened is used by the next request.
-func TestManyLookOnce(t *testing.T) {
+// All requests to a target break off when it ends. They share one check, and the next request uses a
+// connection that the check opened.
+func TestConcurrentProcessChecksShareOneConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dials atomic.Int32
 		release := make(chan struct{})
@@ -103,19 +103,19 @@
 			return c, nil
 		}, transport.DefaultSettings())
 		defer p.Close()
-		var asking sync.WaitGroup
+		var checks sync.WaitGroup
 		for range 20 {
-			asking.Go(func() { p.ProcessEnded(context.Background(), "a:1", "") })
+			checks.Go(func() { p.ProcessEnded(context.Background(), "a:1", "") })
 		}
 		synctest.Wait()
 		close(release)
-		asking.Wait()
+		checks.Wait()
 		if n := dials.Load(); n != 1 {
-			t.Errorf("%d connections for one look", n)
+			t.Errorf("%d connections opened by concurrent checks, want 1", n)
 		}
 		x, err := p.Open(context.Background(), "a:1", transport.ReuseIdle)
 		if err != nil || !x.Reused() {
-			t.Errorf("the connection of the look is not used: %v", err)
+			t.Errorf("the connection of the check is not reused: %v", err)
 		}
 	})
 }
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -16,14 +16,14 @@
 	"clovertrail.dev/transport"
 )
 
-// peer answers each request on each connection with what script gives for its
-// number on that connection, from 0.
+// peer is a server that passes each request to a script, with the request's number on its connection,
+// from 0. The script writes the response and returns whether the connection stays open.
 type peer struct {
 	l     net.Listener
 	conns atomic.Int32
 }
 
-func newPeer(t *testing.T, script func(n int, w net.Conn, r *http.Request) (goOn bool)) *peer {
+func newPeer(t *testing.T, script func(n int, w net.Conn, r *http.Request) (keepOpen bool)) *peer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,7 +74,7 @@
 	return &http.Request{Method: "GET", URL: &url.URL{Path: "/x"}, Host: "h", Header: http.Header{}, ProtoMajor: 1, ProtoMinor: 1}
 }
 
-// get makes a request that is number 1 and returns the body of its answer.
+// get sends a request whose response has the id 1, and returns the body of the response.
 func get(t *testing.T, p *transport.Pool, address string, reuse transport.Reuse) (string, error) {
 	t.Helper()
 	x, err := p.Open(context.Background(), address, reuse)
@@ -94,18 +94,18 @@
 	return string(body), err
 }
 
-func TestConnectionsAreKeptAndReused(t *testing.T) {
+func TestPoolReusesIdleConnections(t *testing.T) {
 	tests := []struct {
 		name   string
 		answer string
 		reuse  transport.Reuse
 		conns  int32
 	}{
-		{"kept", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nok", transport.ReuseIdle, 1},
-		{"fresh each time", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nok", transport.DialNew, 3},
+		{"reused", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nok", transport.ReuseIdle, 1},
+		{"new connection each time", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nok", transport.DialNew, 3},
 		{"closed by the target", "HTTP/1.1 200 OK\nId: 1\nConnection: close\nContent-Length: 2\n\nok", transport.ReuseIdle, 3},
-		{"kept for too short", "HTTP/1.1 200 OK\nId: 1\nKeep-Alive: timeout=1\nContent-Length: 2\n\nok", transport.ReuseIdle, 3},
-		{"more behind the answer", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nokHTTP/1.1 200 OK\nId: 0\nContent-Length: 0\n\n", transport.ReuseIdle, 3},
+		{"keep-alive time within the margin", "HTTP/1.1 200 OK\nId: 1\nKeep-Alive: timeout=1\nContent-Length: 2\n\nok", transport.ReuseIdle, 3},
+		{"data after the response", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nokHTTP/1.1 200 OK\nId: 0\nContent-Length: 0\n\n", transport.ReuseIdle, 3},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestAnswersToOtherRequestsArePassedOver(t *testing.T) {
+func TestReceiveSkipsResponsesToOtherRequests(t *testing.T) {
 	peer := newPeer(t, func(_ int, w net.Conn, _ *http.Request) bool {
 		write(w, "HTTP/1.1 200 OK\nId: late\nContent-Length: 5\n\nwrongHTTP/1.1 100 Continue\n\nHTTP/1.1 200 OK\nId: 1\nContent-Length: 5\n\nright")
 		return true
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestOnlyAnswersToOthers(t *testing.T) {
+func TestReceiveFailsAfterTooManyForeignResponses(t *testing.T) {
 	peer := newPeer(t, func(_ int, w net.Conn, _ *http.Request) bool {
 		write(w, strings.Repeat("HTTP/1.1 200 OK\nId: late\nContent-Length: 1\n\nx", 10))
 		return true
@@ -149,15 +149,15 @@
 	}
 }
 
-func TestBrokenAnswersAreErrors(t *testing.T) {
+func TestReceiveReportsTruncatedResponses(t *testing.T) {
 	tests := map[string]string{
-		"short body":      "HTTP/1.1 200 OK\nId: 1\nContent-Length: 9\n\nok",
-		"cut chunk":       "HTTP/1.1 200 OK\nId: 1\nTransfer-Encoding: chunked\n\n5\nok",
-		"no last chunk":   "HTTP/1.1 200 OK\nId: 1\nTransfer-Encoding: chunked\n\n2\nok\n",
-		"no answer":       "",
-		"not an answer":   "hello there\n\n",
-		"part of a head":  "HTTP/1.1 200 OK\nId:",
-		"garbage in head": "HTTP/1.1 200 OK\n: :\x00\n\n",
+		"short body":     "HTTP/1.1 200 OK\nId: 1\nContent-Length: 9\n\nok",
+		"cut chunk":      "HTTP/1.1 200 OK\nId: 1\nTransfer-Encoding: chunked\n\n5\nok",
+		"no last chunk":  "HTTP/1.1 200 OK\nId: 1\nTransfer-Encoding: chunked\n\n2\nok\n",
+		"no response":    "",
+		"not a response": "hello there\n\n",
+		"cut header":     "HTTP/1.1 200 OK\nId:",
+		"invalid header": "HTTP/1.1 200 OK\n: :\x00\n\n",
 	}
 	for name, answer := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -166,13 +166,13 @@
 				return false
 			})
 			if body, err := get(t, newPool(), peer.address(), transport.ReuseIdle); err == nil {
-				t.Errorf("got %q as whole", body)
+				t.Errorf("got %q as a complete response", body)
 			}
 		})
 	}
 }
 
-func TestAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
+func TestResponseWithoutLengthEndsWithConnection(t *testing.T) {
 	peer := newPeer(t, func(_ int, w net.Conn, _ *http.Request) bool {
 		write(w, "HTTP/1.1 200 OK\nId: 1\n\nwhole")
 		return false
@@ -186,11 +186,11 @@
 		return false
 	})
 	if body, err := get(t, newPool(), reset.address(), transport.ReuseIdle); err == nil {
-		t.Errorf("got %q as whole although the connection was reset", body)
+		t.Errorf("got %q as a complete response although the connection was reset", body)
 	}
 }
 
-func TestSentTellsWhetherAByteMayHaveLeft(t *testing.T) {
+func TestSentReportsWhetherAByteMayHaveLeft(t *testing.T) {
 	pool := newPool()
 	peer := newPeer(t, func(int, net.Conn, *http.Request) bool { return false })
 	x, err := pool.Open(context.Background(), peer.address(), transport.DialNew)
@@ -198,12 +198,12 @@
 		t.Fatal(err)
 	}
 	if x.Sent() {
-		t.Error("sent before anything was written")
+		t.Error("Sent is true before the request was written")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	x.CloseWhenDone(ctx)
 	cancel()
-	for x.Send(request()) == nil { // until the close is carried out
+	for x.Send(request()) == nil { // until the connection is closed
 	}
 	x.Close()
 
@@ -212,12 +212,12 @@
 		t.Fatal(err)
 	}
 	if err := y.Send(request()); err != nil || !y.Sent() {
-		t.Errorf("sent %v, %v", y.Sent(), err)
+		t.Errorf("after Send: Sent = %v, err = %v", y.Sent(), err)
 	}
 	y.Close()
 }
 
-func TestEndOfContextClosesTheConnection(t *testing.T) {
+func TestContextEndClosesConnection(t *testing.T) {
 	closed := make(chan error, 1)
 	peer := newPeer(t, func(_ int, w net.Conn, _ *http.Request) bool {
 		var b [1]byte
@@ -236,18 +236,18 @@
 	}
 	cancel()
 	if _, err := x.Receive(request(), func(*http.Response) bool { return true }); err == nil {
-		t.Error("received from a closed connection")
+		t.Error("received a response on a closed connection")
 	}
 	if err := <-closed; err == nil {
-		t.Error("the target was not told")
+		t.Error("the connection stayed open on the target's side")
 	}
 	x.Close()
 }
 
-func TestAConnectionThatTheTargetClosedIsNotUsed(t *testing.T) {
+func TestPoolSkipsConnectionsClosedByTarget(t *testing.T) {
 	peer := newPeer(t, func(n int, w net.Conn, _ *http.Request) bool {
 		write(w, "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nok")
-		return false // closes although it did not say so
+		return false // closes without a "Connection: close" header
 	})
 	pool := newPool()
 	defer pool.Close()
@@ -258,11 +258,11 @@
 		waitClosed(t, pool, peer.address())
 	}
 	if n := peer.conns.Load(); n < 3 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections, want at least 3", n)
 	}
 }
 
-// waitClosed opens kept connections until none is left that the peer has closed.
+// waitClosed opens exchanges until no idle connection to the peer is left that could be reused.
 func waitClosed(t *testing.T, pool *transport.Pool, address string) {
 	t.Helper()
 	for {
@@ -278,7 +278,7 @@
 	}
 }
 
-func TestNobodyListens(t *testing.T) {
+func TestOpenReturnsDialError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
