--- a/node/process/doc.go
+++ b/node/process/doc.go
@@ -1,5 +1,5 @@
-// Package process is what the two processes of clovertrail-node share: their settings, the
-// network that they reach others through, and how their servers run and end.
+// Package process holds what the entry and agent processes of clovertrail-node share: their settings,
+// their access to the network, and the start of their servers and the report of failures.
 //
 // # Usage
 //
--- a/node/process/network.go
+++ b/node/process/network.go
@@ -9,30 +9,29 @@
 	"clovertrail.dev/transport"
 )
 
-// The times of connections.
 const (
-	// connectWithin bounds the opening of a connection: a hundred times the way
-	// between data halls of one region, and less than the first repetition of a lost
-	// opening packet, after which another target is the better choice.
-	connectWithin = 300 * time.Millisecond
-	// unheardFor is how long a peer may leave bytes unacknowledged: under the two
-	// seconds after which callers give up a silent stream.
-	unheardFor = 1500 * time.Millisecond
+	// connectTimeout bounds the opening of a connection. It is a hundred times the latency between
+	// data halls of one region, and less than the time after which TCP first repeats a lost SYN
+	// packet: by then another target is the better choice.
+	connectTimeout = 300 * time.Millisecond
+	// deadPeerTimeout is how long a peer may leave bytes unacknowledged: less than the two seconds
+	// after which callers give up a stream without data.
+	deadPeerTimeout = 1500 * time.Millisecond
 )
 
-// Network is what a process reaches others through and is reached at.
+// Network listens for connections and opens them. Tests replace it with a simulated network.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
-// machineNetwork is TCP on the machine that the process runs on.
+// machineNetwork is the TCP network of the machine.
 type machineNetwork struct{ dial transport.Dialer }
 
-// MachineNetwork returns TCP on this machine, with the time-outs of connections to
-// targets, the store and other boxes.
+// MachineNetwork returns the TCP network of the machine, with the timeouts of connections to targets,
+// the store and other boxes.
 func MachineNetwork() Network {
-	return machineNetwork{dial: transport.Dial(transport.Timeouts{Connect: connectWithin, DeadPeer: unheardFor})}
+	return machineNetwork{dial: transport.Dial(transport.Timeouts{Connect: connectTimeout, DeadPeer: deadPeerTimeout})}
 }
 
 // Listen implements Network.
@@ -43,8 +42,8 @@
 	return n.dial(ctx, address)
 }
 
-// HTTPClient calls the store and engines. It keeps a connection for each of the
-// waiting calls.
+// HTTPClient returns a client for calls to the store and to engines. It uses one connection for each
+// concurrent call.
 func HTTPClient(n Network) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:        func(ctx context.Context, _, address string) (net.Conn, error) { return n.Dial(ctx, address) },
--- a/node/process/servers.go
+++ b/node/process/servers.go
@@ -9,19 +9,19 @@
 	"clovertrail.dev/telemetry"
 )
 
-// Server is one that serves a listener until it is stopped.
+// Server serves connections of a listener until it is stopped.
 type Server interface{ Serve(net.Listener) error }
 
-// Servers are those of one process. The first that ends by itself ends the process.
+// Servers starts the servers of one process. The first server that fails ends the process.
 type Servers struct {
 	network Network
 	failed  chan<- error
 }
 
-// NewServers returns servers that send to failed how one of them ended.
+// NewServers returns Servers without a server. The error of a server that fails is sent to failed.
 func NewServers(n Network, failed chan<- error) *Servers { return &Servers{network: n, failed: failed} }
 
-// Serve runs the server at the address.
+// Serve starts the server at the address.
 func (s *Servers) Serve(srv Server, address string) error {
 	l, err := s.network.Listen(address)
 	if err != nil {
@@ -35,7 +35,8 @@
 	return nil
 }
 
-// ServeMetrics serves counters and histograms at the address; none if it is empty.
+// ServeMetrics starts a server of counters and histograms at the address. It does nothing if the
+// address is empty.
 func (s *Servers) ServeMetrics(c telemetry.Common, address string) error {
 	if address == "" {
 		return nil
@@ -43,7 +44,8 @@
 	return s.Serve(&http.Server{Handler: c.Metrics.Handler(), ReadHeaderTimeout: catalog.DefaultLimits().HeaderTimeout}, address)
 }
 
-// ReportFailure reports how a server ended. Only the first counts, and none once the process leaves.
+// ReportFailure sends the error of a failed server to failed. It does not block: only the first error
+// is received, and none once the process stops.
 func ReportFailure(failed chan<- error, err error) {
 	select {
 	case failed <- err:
--- a/node/process/settings.go
+++ b/node/process/settings.go
@@ -6,54 +6,54 @@
 	"clovertrail.dev/settings"
 )
 
-// EntrySettings are the settings of an entry box. DefaultEntrySettings gives the
-// values of fields that the file does not name.
+// EntrySettings are the settings of an entry box. Fields that are missing in the settings file have the
+// values of DefaultEntrySettings.
 type EntrySettings struct {
 	// Box is the name of this box.
 	Box string `json:"box" required:"true"`
-	// Hall is the data hall in which the box stands.
+	// Hall is the data hall of this box.
 	Hall string `json:"hall" required:"true"`
-	// Callers is the address for callers' requests, host:port.
+	// Callers is the address that serves callers, host:port.
 	Callers string `json:"callers" required:"true"`
-	// Ready is the address at which the platform asks whether the box takes callers, host:port.
+	// Ready is the address of the readiness endpoint, where the platform queries whether the box accepts callers, host:port.
 	Ready string `json:"ready" required:"true"`
 	// Peers is the address for other boxes of the system, host:port.
 	Peers string `json:"peers" required:"true"`
-	// Meeting is a second address for other boxes, under which those that start know this one as a seed; empty for none.
+	// Meeting is a second address for other boxes, which starting boxes use as a seed; empty for none.
 	Meeting string `json:"meeting"`
-	// Seeds are addresses of entry boxes to meet the others through; they may be stale.
+	// Seeds are addresses of entry boxes through which this box discovers the others; they may be stale.
 	Seeds []string `json:"seeds"`
 	// Metrics is the address of counters and histograms, host:port; empty for none.
 	Metrics string `json:"metrics"`
 	// Store is the address of the platform's store, host:port.
 	Store string `json:"store" required:"true"`
-	// FirstStart reports that the whole system starts for the first time, so that no caller waits and a box can wait for others to tell it what the store holds.
+	// FirstStart states that the whole system starts for the first time. No caller is waiting then, so a box can wait to receive the contents of the store from other boxes.
 	FirstStart bool `json:"first_start"`
-	// AgentPort is the port of agents on the boxes of targets; 0 where there are none.
+	// AgentPort is the port of the agents on the boxes of targets; 0 if there are no agents.
 	AgentPort int `json:"agent_port" min:"0" max:"65535"`
-	// Bounds are what the platform holds the system to.
+	// Bounds are the requirements of the platform that the system must meet.
 	Bounds Bounds `json:"bounds"`
 }
 
-// Bounds are what the platform holds the system to.
+// Bounds are the requirements of the platform that the system must meet.
 type Bounds struct {
-	// Drain is how long after news of a target's leaving it may still get new work.
+	// Drain is how long a target may still receive new work after it was announced that it leaves.
 	Drain settings.Duration `json:"drain" min:"100ms" max:"10m"`
-	// Stop is how long after a request to stop the process is killed.
+	// Stop is the time after a request to stop at which the platform kills the process.
 	Stop settings.Duration `json:"stop" min:"1s" max:"1h"`
-	// ConfigApply is how long after its acceptance a configuration must be in force.
+	// ConfigApply is the time after its acceptance within which a configuration must be in force.
 	ConfigApply settings.Duration `json:"config_apply" min:"100ms" max:"10m"`
-	// Contact is how long a box must have been in reach before it is held to the bounds.
+	// Contact is how long a box must have been reachable before the bounds apply to it.
 	Contact settings.Duration `json:"contact" min:"100ms" max:"10m"`
-	// RetryShare is how many further attempts each request pays for, over all boxes.
+	// RetryShare is the number of retries that each request adds to the retry budget, over all boxes.
 	RetryShare float64 `json:"retry_share" min:"0" max:"10"`
-	// RetrySlack is how many further attempts are free in a window, over all boxes.
+	// RetrySlack is the number of further retries allowed in each window, over all boxes.
 	RetrySlack float64 `json:"retry_slack" min:"0" max:"1000000"`
-	// RetryWindow is the length of that window.
+	// RetryWindow is the length of the window for RetrySlack.
 	RetryWindow settings.Duration `json:"retry_window" min:"100ms" max:"10m"`
 }
 
-// DefaultBounds are cautious values for a platform that does not name its own.
+// DefaultBounds returns cautious values for a platform that does not state its own.
 func DefaultBounds() Bounds {
 	return Bounds{
 		Drain:       settings.Duration(2 * time.Second),
@@ -69,33 +69,33 @@
 // DefaultEntrySettings returns the default settings of an entry box.
 func DefaultEntrySettings() EntrySettings { return EntrySettings{Bounds: DefaultBounds()} }
 
-// AgentSettings are the settings of an agent. DefaultAgentSettings gives the values
-// of fields that the file does not name.
+// AgentSettings are the settings of an agent. Fields that are missing in the settings file have the
+// values of DefaultAgentSettings.
 type AgentSettings struct {
 	// Box is the name of this box.
 	Box string `json:"box" required:"true"`
-	// Hall is the data hall in which the box stands.
+	// Hall is the data hall of this box.
 	Hall string `json:"hall" required:"true"`
-	// Engine is the address of the model engine beside this agent, host:port.
+	// Engine is the address of the model engine on the box of this agent, host:port.
 	Engine string `json:"engine" required:"true"`
 	// Peers is the address for other boxes of the system, host:port.
 	Peers string `json:"peers" required:"true"`
 	// Metrics is the address of counters and histograms, host:port; empty for none.
 	Metrics string `json:"metrics"`
-	// Bounds are what the platform holds the system to.
+	// Bounds are the requirements of the platform that the system must meet.
 	Bounds Bounds `json:"bounds"`
-	// LinkMbps is what this box's link carries, in Mbit/s.
+	// LinkMbps is the bandwidth of the network link of this box, in Mbit/s.
 	LinkMbps float64 `json:"link_mbps" min:"0.1" max:"1000000"`
-	// Horizon is for how long demand is taken to stay as it is when a map is planned.
+	// Horizon is how long planning of a map assumes the load to stay unchanged.
 	Horizon settings.Duration `json:"horizon" min:"100ms" max:"1h"`
-	// MaxCopyTime bounds how long a rank copies experts for one change of maps; after it the next is planned. One expert is always copied.
+	// MaxCopyTime bounds how long a rank copies experts for one change of maps; the next change is planned after it. At least one expert may always be copied.
 	MaxCopyTime settings.Duration `json:"most_copying" min:"0s" max:"1m"`
-	// MinSaving is the share of the time within the horizon that a change of maps must save.
+	// MinSaving is the time that a change of maps must save within the horizon, as a share of the horizon.
 	MinSaving float64 `json:"least_saving" min:"0" max:"1"`
 }
 
-// DefaultAgentSettings returns the default settings of an agent; docs/EXPERTS.md has the grounds
-// of those of planning.
+// DefaultAgentSettings returns the default settings of an agent. docs/EXPERTS.md explains the defaults
+// for planning.
 func DefaultAgentSettings() AgentSettings {
 	return AgentSettings{
 		Bounds:      DefaultBounds(),
@@ -106,11 +106,10 @@
 	}
 }
 
-// MaxCopies is how many experts a rank may copy for one change of maps if each takes so
-// long.
-func (s AgentSettings) MaxCopies(each time.Duration) int {
-	if each <= 0 {
+// MaxCopies returns how many experts a rank may copy for one change of maps if each copy takes copyTime.
+func (s AgentSettings) MaxCopies(copyTime time.Duration) int {
+	if copyTime <= 0 {
 		return 1
 	}
-	return max(1, int(s.MaxCopyTime.Std()/each))
+	return max(1, int(s.MaxCopyTime.Std()/copyTime))
 }
