--- a/node/process/servers.go
+++ b/node/process/servers.go
@@ -44,8 +44,8 @@
 	return s.Serve(&http.Server{Handler: c.Metrics.Handler(), ReadHeaderTimeout: catalog.DefaultLimits().HeaderTimeout}, address)
 }
 
-// ReportFailure sends the error of a failed server to failed. It does not block: only the first error
-// is received, and none once the process stops.
+// ReportFailure sends the error of a failed server to failed without blocking. Only the first error
+// counts, and none once the process stops.
 func ReportFailure(failed chan<- error, err error) {
 	select {
 	case failed <- err:
--- a/node/telling/doc.go
+++ b/node/telling/doc.go
@@ -18,11 +18,11 @@
 //	err := maps.Whole(call)                    // before the order goes to the engine
 //
 //	picks := telling.NewPicks()                // at every agent
-//	report.Picked = picks.Since(now, asker, born, counts)
+//	report.ExpertCounts = picks.Since(now, asker, born, counts)
 //
 //	relays := telling.NewRelays(rank, members) // at the coordinator of a large group
 //	for _, p := range relays.Through(ranks, fit) { ask(p.Relay, p.Ranks) }
 //
 //	counter := telling.NewCounter(shape)       // at the coordinator
-//	if counter.Add(rank, report.Picked) { load := counter.Take() }
+//	if counter.Add(rank, report.ExpertCounts) { load := counter.Take() }
 package telling
--- a/transport/process_check.go
+++ b/transport/process_check.go
@@ -30,8 +30,8 @@
 // ProcessEnded reports whether the process at the address has ended, which shows in its box refusing
 // connections. A process that closes connections but still listens has not ended, and if the box does
 // not respond at all, the result is false. A cut network path may refuse connections too, so the
-// witness, the address of another process on that path, must accept a connection. With an empty
-// witness, a refusal alone counts. A connection that opens at the address is pooled for the next
+// witness, the address of another process reached by the same path, must accept a connection. With an
+// empty witness, a refusal alone counts. A connection that opens at the address is pooled for the next
 // request.
 func (p *Pool) ProcessEnded(ctx context.Context, address, witness string) bool {
 	check, started := p.joinProcessCheck(address)
@@ -61,8 +61,8 @@
 	close(check.done)
 }
 
-// joinProcessCheck returns the current check of the address; started is true if
-// there was none, and the caller then has to carry it out.
+// joinProcessCheck returns the current check of the address. If there was none, started is true, and
+// the caller must carry out the check.
 func (p *Pool) joinProcessCheck(address string) (check *processCheck, started bool) {
 	now := clock.Now()
 	p.mu.Lock()
