--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -87,7 +87,7 @@
 	s := distribution.NewTargetStatuses()
 	for i := range targets {
 		s.RecordReport(begin, instance(i), &mesh.RankReport{
-			State: orders.State{Epoch: 3, Open: true, Step: orders.Step(90_000 + i)}, Running: 7, Waiting: 1, Pace: 1,
+			State: orders.State{Epoch: 3, Open: true, Step: orders.Step(90_000 + i)}, Running: 7, Waiting: 1, Slowdown: 1,
 		})
 	}
 	return bytesOf(s.Latest(begin.Add(150*time.Millisecond), false))
@@ -104,7 +104,7 @@
 	far := store.PositionOf(3, 90_000)
 	a := &mesh.Advert{Self: mesh.Contact{Box: "entry-hall-0", Address: "10.1.0.40:7340", Incarnation: domain.Incarnation(begin.UnixNano())}, Hall: "hall-1", Config: catalog.Edition{Version: 90_000, At: far}, Targets: far}
 	for c, ago := range b.PeersToAdvertise(begin.Add(membership.NewFor), 16, 2) {
-		a.Known = append(a.Known, mesh.Contact{Box: c.Box, Address: c.Address, Incarnation: c.Incarnation, Ago: ago})
+		a.Peers = append(a.Peers, mesh.Contact{Box: c.Box, Address: c.Address, Incarnation: c.Incarnation, Age: ago})
 	}
 	return bytesOf(a)
 }
@@ -117,7 +117,7 @@
 	for r := range ranks {
 		taught.Members = append(taught.Members, mesh.Member{Rank: r, Instance: instance(r), Target: "10.1.0.40:8000", Agent: "10.1.0.40:7355"})
 	}
-	answer := &mesh.RankReport{Group: "g0-0", Rank: 3, Size: ranks, State: orders.State{Epoch: 3, Open: true, Step: 90_000, Map: 42_000_000_000, Prepared: 42_000_000_000}, Running: 7, Pace: 1, Knows: 3}
+	answer := &mesh.RankReport{Group: "g0-0", Rank: 3, Size: ranks, State: orders.State{Epoch: 3, Open: true, Step: 90_000, Map: 42_000_000_000, Prepared: 42_000_000_000}, Running: 7, Slowdown: 1, MembersEpoch: 3}
 	return bytesOf(&mesh.WatchQuery{Epoch: 3}) + bytesOf(answer) + bytesOf(taught)/questions
 }
 
@@ -126,7 +126,7 @@
 	for i := range numbers {
 		numbers[i] = uint64(i % 200)
 	}
-	return bytesOf(mesh.Pack(numbers))
+	return bytesOf(mesh.NewExpertCounts(numbers))
 }
 
 func wholeMap(size int) float64 {
@@ -137,7 +137,7 @@
 			m[l] = append(m[l], []int{r % 96, (r + 20) % 96, (r + 40) % 96, (r + 60) % 96, (r + 80) % 96})
 		}
 	}
-	return bytesOf(mesh.CallOf(orders.Call{Order: orders.Prepare{Version: 42_000_000_000, Map: m}}))
+	return bytesOf(mesh.NewOrderCall(orders.Call{Order: orders.Prepare{Version: 42_000_000_000, Map: m}}))
 }
 
 func choose(targets int) float64 {
--- a/mesh/fuzz_test.go
+++ b/mesh/fuzz_test.go
@@ -12,19 +12,19 @@
 	"clovertrail.dev/mesh"
 )
 
-// FuzzMessages decodes any bytes as each message that another process may send, and takes
-// it apart as its receivers do.
+// FuzzMessages decodes arbitrary bytes as each message that another process may send, and converts the
+// messages as receivers do.
 func FuzzMessages(f *testing.F) {
 	hold := orders.Step(7)
 	for _, m := range []any{
-		&mesh.Advert{Self: mesh.Contact{Box: "b"}, FailureReports: []mesh.FailureReport{{Target: "t", By: "b", Ago: 5}}, Works: []mesh.WorkObservation{{Digest: "d", Target: "t", Ago: 5}}, Limits: []mesh.LimitReport{{Target: "t", Ago: 5}}},
-		&mesh.PermitQuery{Service: "s", Wants: []mesh.LimitReport{{Target: "t", Ago: 5}}},
-		&mesh.PermitReply{Issuer: true, Target: "t", Permits: 2, Turns: []mesh.PermitTurn{{Target: "u", In: 5}}},
-		&mesh.Pulled{At: pos(3), Targets: []mesh.TargetNews{{ID: "t", At: pos(2), Target: &domain.TargetFields{ID: "t"}}}},
-		&mesh.RankReport{Group: "g", Size: 2, Picked: mesh.Pack([]uint64{3, 1000})},
-		&mesh.Gathered{Ranks: []mesh.RankStatus{{Rank: 1, Held: &hold}}, Picked: mesh.Pack([]uint64{1})},
-		&mesh.HallReport{Targets: []mesh.Sighting{{ID: "t"}}},
-		mesh.CallOf(orders.Call{Order: orders.Hold{Step: 4}}),
+		&mesh.Advert{Self: mesh.Contact{Box: "b"}, FailureReports: []mesh.FailureReport{{Target: "t", By: "b", Age: 5}}, WorkObservations: []mesh.WorkObservation{{Digest: "d", Target: "t", Age: 5}}, Limits: []mesh.LimitReport{{Target: "t", Age: 5}}},
+		&mesh.PermitQuery{Service: "s", Limits: []mesh.LimitReport{{Target: "t", Age: 5}}},
+		&mesh.PermitReply{Issuer: true, Target: "t", Permits: 2, Turns: []mesh.PermitTurn{{Target: "u", Wait: 5}}},
+		&mesh.PullReply{At: pos(3), Targets: []mesh.TargetUpdate{{ID: "t", At: pos(2), Target: &domain.TargetFields{ID: "t"}}}},
+		&mesh.RankReport{Group: "g", Size: 2, ExpertCounts: mesh.NewExpertCounts([]uint64{3, 1000})},
+		&mesh.GatherReply{Ranks: []mesh.RankStatus{{Rank: 1, Held: &hold}}, ExpertCounts: mesh.NewExpertCounts([]uint64{1})},
+		&mesh.HallReport{Targets: []mesh.TargetStatus{{ID: "t"}}},
+		mesh.NewOrderCall(orders.Call{Order: orders.Hold{Step: 4}}),
 	} {
 		raw, err := cbor.Marshal(m)
 		if err != nil {
@@ -33,44 +33,44 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var pulled mesh.Pulled
-		if cbor.Unmarshal(raw, &pulled) == nil {
-			news, err := pulled.News()
-			for _, n := range news {
-				if err == nil && n.Target != nil && n.Target.Address() == "" {
-					t.Errorf("%x: a target without an address", raw)
+		var reply mesh.PullReply
+		if cbor.Unmarshal(raw, &reply) == nil {
+			updates, err := reply.TargetUpdates()
+			for _, u := range updates {
+				if err == nil && u.Target != nil && u.Target.Address() == "" {
+					t.Errorf("%x: a target without an address was accepted", raw)
 				}
 			}
 		}
 		var report mesh.RankReport
-		if cbor.Unmarshal(raw, &report) == nil && report.Picked != nil {
-			mesh.Sum([]*mesh.Picked{report.Picked, nil, mesh.Pack([]uint64{1, 2})})
+		if cbor.Unmarshal(raw, &report) == nil && report.ExpertCounts != nil {
+			mesh.SumExpertCounts([]*mesh.ExpertCounts{report.ExpertCounts, nil, mesh.NewExpertCounts([]uint64{1, 2})})
 		}
-		var word mesh.RankStatus
-		if cbor.Unmarshal(raw, &word) == nil {
-			word.Report()
+		var status mesh.RankStatus
+		if cbor.Unmarshal(raw, &status) == nil {
+			status.Report()
 		}
 		var order mesh.OrderCall
 		if cbor.Unmarshal(raw, &order) == nil && order.Order() != nil {
 			orders.Describe(order.Order())
 		}
 		checkLimits(t, raw)
-		for _, m := range []any{&mesh.PermitReply{}, &mesh.Advert{}, &mesh.HallReport{}, &mesh.Gathered{}, &mesh.WatchQuery{}, &mesh.DealCall{}} {
-			_ = cbor.Unmarshal(raw, m) // refused or read, but never a panic
+		for _, m := range []any{&mesh.PermitReply{}, &mesh.Advert{}, &mesh.HallReport{}, &mesh.GatherReply{}, &mesh.WatchQuery{}, &mesh.FanOutCall{}} {
+			_ = cbor.Unmarshal(raw, m) // may fail, but must not panic
 		}
 	})
 }
 
-// checkLimits looks that no limit is taken that no target can mean.
+// checkLimits verifies that no limit is accepted that no target can announce.
 func checkLimits(t *testing.T, raw []byte) {
 	var query mesh.PermitQuery
 	if cbor.Unmarshal(raw, &query) != nil {
 		return
 	}
-	for _, w := range query.Wants {
-		word, ok := w.Report(time.Unix(1000, 0))
-		if l, limited := word.Limit.(call.Limited); ok && limited && !(l.PerSecond >= 0 && l.PerSecond < 1e9) {
-			t.Errorf("%x: a limit of %v a second", raw, l.PerSecond)
+	for _, r := range query.Limits {
+		report, ok := r.Report(time.Unix(1000, 0))
+		if l, limited := report.Limit.(call.Limited); ok && limited && !(l.PerSecond >= 0 && l.PerSecond < 1e9) {
+			t.Errorf("%x: a limit of %v a second was accepted", raw, l.PerSecond)
 		}
 	}
 }
--- a/node/adverts.go
+++ b/node/adverts.go
@@ -33,9 +33,9 @@
 	defer p.mu.Unlock()
 	a := &mesh.Advert{
 		Self: contactOf(p.self, 0), Hall: domain.HallName(p.entry.settings().Hall), Leaving: p.entry.gateway.Stopping(),
-		Config: own.Config, Targets: own.Targets, News: news,
-		FailureReports: failureReports, Leavers: leavers, Works: works,
-		Limits: limits, Blank: !p.hasAllLimits,
+		Config: own.Config, Targets: own.Targets, UpdateOnly: news,
+		FailureReports: failureReports, LeavingTargets: leavers, WorkObservations: works,
+		Limits: limits, NeedsAllLimits: !p.hasAllLimits,
 	}
 	if limited {
 		a.Share = p.share(now, apart)
@@ -44,18 +44,18 @@
 		return a
 	}
 	for c, ago := range p.boxes.PeersToAdvertise(now, maxAdvertised, maxAdvertisedOld) {
-		a.Known = append(a.Known, contactOf(c, ago))
+		a.Peers = append(a.Peers, contactOf(c, ago))
 	}
 	return a
 }
 
 // share is how this box shares limits; mu is held.
 func (p *peering) share(now time.Time, apart bool) *mesh.ShareReport {
-	return &mesh.ShareReport{Boxes: p.boxes.LimitSharers(now), Apart: apart, Settled: p.boxes.Settled(now)}
+	return &mesh.ShareReport{Boxes: p.boxes.LimitSharers(now), UsesFallback: apart, Settled: p.boxes.Settled(now)}
 }
 
 func contactOf(c membership.Contact, ago time.Duration) mesh.Contact {
-	return mesh.Contact{Box: c.Box, Address: c.Address, Incarnation: c.Incarnation, Ago: ago, Hall: c.Hall}
+	return mesh.Contact{Box: c.Box, Address: c.Address, Incarnation: c.Incarnation, Age: ago, Hall: c.Hall}
 }
 
 func contactFrom(c mesh.Contact) membership.Contact {
@@ -67,7 +67,7 @@
 	if w == nil {
 		return membership.ShareReport{}
 	}
-	return membership.ShareReport{Boxes: w.Boxes, UsesFallback: w.Apart, Settled: w.Settled}
+	return membership.ShareReport{Boxes: w.Boxes, UsesFallback: w.UsesFallback, Settled: w.Settled}
 }
 
 // failureReports are what boxes report against targets, to be passed on.
@@ -75,7 +75,7 @@
 	var list []mesh.FailureReport
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		for _, c := range r.FailureReports(now) {
-			list = append(list, mesh.FailureReport{Target: c.Target, By: c.By, Ago: now.Sub(c.At)})
+			list = append(list, mesh.FailureReport{Target: c.Target, By: c.By, Age: now.Sub(c.At)})
 		}
 	})
 	return list
@@ -88,7 +88,7 @@
 	}
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		for _, c := range list {
-			if r.ReceiveFailureReport(now, membership.FailureReport{Target: c.Target, By: c.By, At: now.Add(-c.Ago)}) {
+			if r.ReceiveFailureReport(now, membership.FailureReport{Target: c.Target, By: c.By, At: now.Add(-c.Age)}) {
 				p.entry.fleet.ejected(c.Target)
 			}
 		}
@@ -109,9 +109,9 @@
 	before := p.boxes.LatestIncarnation(a.Self.Box)
 	p.mu.Unlock()
 	p.receive(a)
-	reply := p.advert(a.News, false)
-	reply.Remembered = before
-	if a.Blank {
+	reply := p.advert(a.UpdateOnly, false)
+	reply.LatestIncarnation = before
+	if a.NeedsAllLimits {
 		p.brief(reply)
 	}
 	return reply, nil
@@ -134,17 +134,17 @@
 	p.entry.timeline.observe(store.Later(a.Targets, a.Config.At), "peer "+string(a.Self.Box))
 	own := p.level()
 	p.takeFailureReports(now, a.FailureReports)
-	for _, id := range a.Leavers {
+	for _, id := range a.LeavingTargets {
 		p.entry.fleet.leaves(now, id, "peer "+string(a.Self.Box))
 	}
-	p.entry.quarantine.receive(now, a.Works, "peer "+string(a.Self.Box))
+	p.entry.quarantine.receive(now, a.WorkObservations, "peer "+string(a.Self.Box))
 	p.entry.limiting.receive(now, a.Limits, "peer "+string(a.Self.Box))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.boxes.Receive(now, contactFrom(a.Self), a.Hall, membership.StoreProgress{Config: a.Config, Targets: a.Targets}, a.Leaving)
 	p.boxes.ReceiveShareReport(a.Self.Box, shareFrom(a.Share))
-	for _, c := range a.Known {
-		p.boxes.ReceiveIndirect(now, contactFrom(c), c.Ago)
+	for _, c := range a.Peers {
+		p.boxes.ReceiveIndirect(now, contactFrom(c), c.Age)
 	}
 	p.trackBehind(now, own)
 }
--- a/node/agent_poller.go
+++ b/node/agent_poller.go
@@ -154,7 +154,7 @@
 	if report.Leaving {
 		p.entry.fleet.leaves(clock.Now(), id, "agent")
 	}
-	u.Acknowledged(report.Knows)
+	u.Acknowledged(report.MembersEpoch)
 	if !u.Due(clock.Now(), epoch) {
 		return nil
 	}
@@ -223,8 +223,8 @@
 		updates = r.All()
 	})
 	own, _ := target.Rank()
-	q := &mesh.WatchQuery{Epoch: orders.Epoch(own.Epoch), Shape: p.mapShape(target.Service()), Helpers: p.forwarders()}
-	entries := len(q.Helpers)
+	q := &mesh.WatchQuery{Epoch: orders.Epoch(own.Epoch), Shape: p.mapShape(target.Service()), Forwarders: p.forwarders()}
+	entries := len(q.Forwarders)
 	for _, u := range updates {
 		r, ok := u.Target.Rank()
 		switch {
@@ -234,8 +234,8 @@
 				Rank: r.Number, Instance: u.ID, Target: u.Target.Address(), Agent: p.agentAddress(*u.Target),
 				Hall: u.Target.Hall(),
 			})
-		case r.Group != own.Group && r.Number >= r.Size-otherGroupAgents && len(q.Helpers)-entries < otherGroupAgents:
-			q.Helpers = append(q.Helpers, p.agentAddress(*u.Target))
+		case r.Group != own.Group && r.Number >= r.Size-otherGroupAgents && len(q.Forwarders)-entries < otherGroupAgents:
+			q.Forwarders = append(q.Forwarders, p.agentAddress(*u.Target))
 		}
 	}
 	if len(q.Members) != own.Size {
@@ -280,6 +280,6 @@
 	own := domain.Rank{Group: r.Group, Epoch: uint64(r.State.Epoch), Number: r.Rank, Size: r.Size, Open: r.State.Open}
 	p.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
 		ros.Reported(now, id, own, uint64(r.State.Step), r.Running > 0)
-		b.Report(now, id, routing.Report{Running: r.Running, Waiting: r.Waiting, Slowdown: r.Pace})
+		b.Report(now, id, routing.Report{Running: r.Running, Waiting: r.Waiting, Slowdown: r.Slowdown})
 	})
 }
--- a/node/distribution/count_deltas.go
+++ b/node/distribution/count_deltas.go
@@ -43,7 +43,7 @@
 // cannot be computed, as for a first request, after a restart of the engine or after
 // maxSampleAge. A restarted engine counts from zero. Its counts may have grown past those of the
 // previous process, and then only the changed start time shows the restart.
-func (d *CountDeltas) Since(now time.Time, requester Requester, born domain.Born, counts []uint64) *mesh.Picked {
+func (d *CountDeltas) Since(now time.Time, requester Requester, born domain.Born, counts []uint64) *mesh.ExpertCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.last[requester.Group] == nil {
@@ -62,5 +62,5 @@
 		}
 		deltas[i] = n - before.counts[i]
 	}
-	return mesh.Pack(deltas)
+	return mesh.NewExpertCounts(deltas)
 }
--- a/node/distribution/counter.go
+++ b/node/distribution/counter.go
@@ -30,16 +30,16 @@
 
 // Add adds the counts of a rank, or nil if the rank has none to report, and reports whether all
 // ranks have reported since the last reset. Counts of another shape are not added.
-func (c *Counter) Add(rank int, p *mesh.Picked) bool { return c.AddSum([]int{rank}, p) }
+func (c *Counter) Add(rank int, p *mesh.ExpertCounts) bool { return c.AddSum([]int{rank}, p) }
 
 // AddSum adds the summed counts of several ranks, as Add does for one.
-func (c *Counter) AddSum(ranks []int, p *mesh.Picked) bool {
+func (c *Counter) AddSum(ranks []int, p *mesh.ExpertCounts) bool {
 	for _, r := range ranks {
 		c.reported[r] = true
 	}
-	if p != nil && len(p.Steps) == c.shape.Layers*c.shape.Experts {
-		for i := range p.Steps {
-			c.sum[i/c.shape.Experts][i%c.shape.Experts] += p.Number(i)
+	if p != nil && len(p.Quantized) == c.shape.Layers*c.shape.Experts {
+		for i := range p.Quantized {
+			c.sum[i/c.shape.Experts][i%c.shape.Experts] += p.Count(i)
 		}
 	}
 	return len(c.reported) == c.shape.Ranks
--- a/node/distribution/distribution_test.go
+++ b/node/distribution/distribution_test.go
@@ -59,7 +59,7 @@
 // delivered gets no response.
 func (c *connection) send(p orders.Prepare, delivered bool) (*mesh.OrderCall, error) {
 	c.t.Helper()
-	raw, err := cbor.Marshal(c.sentMaps.Shorten(1, mesh.CallOf(orders.Call{Rank: 1, Epoch: 3, Order: p})))
+	raw, err := cbor.Marshal(c.sentMaps.Shorten(1, mesh.NewOrderCall(orders.Call{Rank: 1, Epoch: 3, Order: p})))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -150,13 +150,13 @@
 
 func TestCountDeltasReturnsIncreaseSincePreviousRequest(t *testing.T) {
 	d := distribution.NewCountDeltas()
-	at := func(after time.Duration, requester int, counts ...uint64) *mesh.Picked {
+	at := func(after time.Duration, requester int, counts ...uint64) *mesh.ExpertCounts {
 		return d.Since(start.Add(after), distribution.Requester{Group: "g0", Rank: requester}, 1, counts)
 	}
 	if got := at(0, 0, 10, 100); got != nil {
 		t.Errorf("first request: %v, want nil", got)
 	}
-	if got := at(time.Second, 0, 15, 100); got.Number(0) != 5 || got.Number(1) != 0 {
+	if got := at(time.Second, 0, 15, 100); got.Count(0) != 5 || got.Count(1) != 0 {
 		t.Errorf("second request: %v, want increases 5 and 0", got)
 	}
 	if got := at(time.Second, 7, 15, 100); got != nil {
@@ -179,20 +179,20 @@
 // Counts are packed into one byte each; the test packs counts far above that.
 func TestPackRoundsLargeCountsWithinHalfAUnit(t *testing.T) {
 	numbers := []uint64{0, 40, 5_000, 100_000, 1_000_000}
-	p := mesh.Pack(numbers)
+	p := mesh.NewExpertCounts(numbers)
 	for i, n := range numbers {
-		if off := p.Number(i) - float64(n); off > p.Unit/2 || off < -p.Unit/2 {
-			t.Errorf("%d was unpacked as %v, with a unit of %v", n, p.Number(i), p.Unit)
+		if off := p.Count(i) - float64(n); off > p.Unit/2 || off < -p.Unit/2 {
+			t.Errorf("%d was unpacked as %v, with a unit of %v", n, p.Count(i), p.Unit)
 		}
 	}
-	if small := mesh.Pack([]uint64{3, 0, 255}); small.Number(0) != 3 || small.Number(2) != 255 {
+	if small := mesh.NewExpertCounts([]uint64{3, 0, 255}); small.Count(0) != 3 || small.Count(2) != 255 {
 		t.Errorf("counts that fit into a byte are not exact: %v", small)
 	}
 }
 
 func TestCounterIsCompleteOnceAllRanksReported(t *testing.T) {
 	c := distribution.NewCounter(rebalance.Shape{Ranks: 2, Layers: 2, Experts: 2})
-	if c.Add(0, mesh.Pack([]uint64{1, 2, 3, 4})) || c.Add(0, mesh.Pack([]uint64{1, 0, 0, 0})) {
+	if c.Add(0, mesh.NewExpertCounts([]uint64{1, 2, 3, 4})) || c.Add(0, mesh.NewExpertCounts([]uint64{1, 0, 0, 0})) {
 		t.Error("complete after one of two ranks reported")
 	}
 	if !c.Add(1, nil) {
@@ -201,7 +201,7 @@
 	if got, want := c.SumAndReset(), (rebalance.Load{{2, 2}, {3, 4}}); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	c.Add(0, mesh.Pack([]uint64{1}))
+	c.Add(0, mesh.NewExpertCounts([]uint64{1}))
 	if c.Add(1, nil); c.SumAndReset()[0][0] != 0 {
 		t.Error("counts of another shape were added")
 	}
@@ -236,10 +236,10 @@
 
 func TestCounterAddsSumOfSeveralRanks(t *testing.T) {
 	c := distribution.NewCounter(rebalance.Shape{Ranks: 3, Layers: 1, Experts: 2})
-	if c.AddSum([]int{0, 2}, mesh.Sum([]*mesh.Picked{mesh.Pack([]uint64{1, 300}), nil, mesh.Pack([]uint64{2, 30})})) {
+	if c.AddSum([]int{0, 2}, mesh.SumExpertCounts([]*mesh.ExpertCounts{mesh.NewExpertCounts([]uint64{1, 300}), nil, mesh.NewExpertCounts([]uint64{2, 30})})) {
 		t.Error("complete after two of three ranks reported")
 	}
-	if !c.AddSum([]int{1}, mesh.Sum(nil)) {
+	if !c.AddSum([]int{1}, mesh.SumExpertCounts(nil)) {
 		t.Error("not complete after all ranks reported, one of them without counts")
 	}
 	if got := c.SumAndReset(); got[0][0] < 2 || got[0][0] > 4 || got[0][1] < 328 || got[0][1] > 332 {
--- a/node/distribution/target_statuses.go
+++ b/node/distribution/target_statuses.go
@@ -24,7 +24,7 @@
 
 type targetStatus struct {
 	reportedAt  time.Time
-	status      mesh.Sighting
+	status      mesh.TargetStatus
 	unreachable bool // the target's box sent no response at all to the last query
 	fromPeer    bool // received from another box
 }
@@ -38,19 +38,19 @@
 func (s *TargetStatuses) RecordReport(now time.Time, id domain.InstanceID, r *mesh.RankReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.statuses[id] = targetStatus{reportedAt: now, status: mesh.Sighting{
+	s.statuses[id] = targetStatus{reportedAt: now, status: mesh.TargetStatus{
 		ID: id, Epoch: r.State.Epoch, Open: r.State.Open, Step: r.State.Step,
-		Running: r.Running, Waiting: r.Waiting, Pace: float32(r.Pace),
+		Running: r.Running, Waiting: r.Waiting, Slowdown: float32(r.Slowdown),
 	}}
 }
 
 // RecordFromPeer stores a target status that another box received at the given time, unless
 // a newer status is stored. At equal times, a status that reports the target as unreachable wins.
-func (s *TargetStatuses) RecordFromPeer(at time.Time, w mesh.Sighting) {
+func (s *TargetStatuses) RecordFromPeer(at time.Time, w mesh.TargetStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if x, ok := s.statuses[w.ID]; !ok || at.After(x.reportedAt) || at.Equal(x.reportedAt) && w.Missing {
-		s.statuses[w.ID] = targetStatus{reportedAt: at, status: w, unreachable: w.Missing, fromPeer: true}
+	if x, ok := s.statuses[w.ID]; !ok || at.After(x.reportedAt) || at.Equal(x.reportedAt) && w.BoxUnresponsive {
+		s.statuses[w.ID] = targetStatus{reportedAt: at, status: w, unreachable: w.BoxUnresponsive, fromPeer: true}
 	}
 }
 
@@ -80,7 +80,7 @@
 			continue
 		}
 		w := x.status
-		w.Ago, w.Missing = ago, x.unreachable
+		w.Age, w.BoxUnresponsive = ago, x.unreachable
 		out.Targets = append(out.Targets, w)
 	}
 	return out
--- a/node/hall_poller.go
+++ b/node/hall_poller.go
@@ -56,7 +56,7 @@
 	r := p.statuses.Latest(clock.Now(), q.All)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.Follows = p.role != membership.Follower && p.storeHealthy != nil && p.storeHealthy()
+	r.FollowsStore = p.role != membership.Follower && p.storeHealthy != nil && p.storeHealthy()
 	return r, nil
 }
 
@@ -201,7 +201,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, hallPollTimeout)
 	defer cancel()
-	report, err := mesh.Call[mesh.HallQuery, mesh.HallReport](ctx, p.entry.mesh, box.Address, mesh.Survey,
+	report, err := mesh.Call[mesh.HallQuery, mesh.HallReport](ctx, p.entry.mesh, box.Address, mesh.QueryHall,
 		&mesh.HallQuery{All: hall == p.hall()})
 	if err != nil {
 		p.handleFailure(hall, box.Box, err)
@@ -230,21 +230,21 @@
 	}
 	if hall == p.hall() {
 		p.hubFollowsAt = time.Time{}
-		if r.Follows {
+		if r.FollowsStore {
 			p.hubFollowsAt = now
 		}
 	}
 	p.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
 		for _, x := range r.Targets {
-			at := now.Add(-x.Ago)
+			at := now.Add(-x.Age)
 			target, _ := ros.Get(x.ID)
 			p.reporters.Received(target.Hall(), x.ID, at)
 			p.statuses.RecordFromPeer(at, x)
 			own := domain.Rank{Epoch: uint64(x.Epoch), Open: x.Open}
 			if ros.Reported(at, x.ID, own, uint64(x.Step), x.Running > 0) {
-				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Slowdown: float64(x.Pace)})
+				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Slowdown: float64(x.Slowdown)})
 			}
-			if x.Missing {
+			if x.BoxUnresponsive {
 				ros.PeerUnreachable(now, x.ID, at)
 			}
 		}
--- a/node/peering.go
+++ b/node/peering.go
@@ -128,12 +128,12 @@
 // serve serves the calls of other boxes at the addresses of the settings.
 func (p *peering) serve(ctx context.Context, failed chan<- error) error {
 	mux := mesh.NewMux()
-	mesh.Handle(mux, mesh.Meet, p.meet)
+	mesh.Handle(mux, mesh.ExchangeAdverts, p.meet)
 	mesh.Handle(mux, mesh.Pull, p.pull)
-	mesh.Handle(mux, mesh.Survey, p.entry.hallPoller.report)
+	mesh.Handle(mux, mesh.QueryHall, p.entry.hallPoller.report)
 	mesh.Handle(mux, mesh.Permit, p.entry.limiting.permit)
-	mesh.Handle(mux, mesh.Command, p.entry.command)
-	mesh.Handle(mux, mesh.Deal, p.entry.deal)
+	mesh.Handle(mux, mesh.SendOrder, p.entry.command)
+	mesh.Handle(mux, mesh.FanOut, p.entry.deal)
 	for _, address := range []string{p.entry.settings().Peers, p.entry.settings().Meeting} {
 		if address == "" {
 			continue
@@ -142,7 +142,7 @@
 		if err != nil {
 			return err
 		}
-		go func() { process.Fail(failed, mesh.Serve(ctx, l, mux)) }()
+		go func() { process.ReportFailure(failed, mesh.Serve(ctx, l, mux)) }()
 	}
 	return nil
 }
@@ -216,9 +216,9 @@
 func (p *peering) exchange(ctx context.Context, address string, updatesOnly, allWorks bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	reply, err := mesh.Call[mesh.Advert, mesh.Advert](ctx, p.entry.mesh, address, mesh.Meet, p.advert(updatesOnly, allWorks))
+	reply, err := mesh.Call[mesh.Advert, mesh.Advert](ctx, p.entry.mesh, address, mesh.ExchangeAdverts, p.advert(updatesOnly, allWorks))
 	if err == nil {
-		p.supersede(reply.Remembered)
+		p.supersede(reply.LatestIncarnation)
 		p.receive(reply)
 		p.noteAllLimits(reply)
 	}
@@ -272,7 +272,7 @@
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	q := &mesh.PullQuery{Config: own.Config, Targets: own.Targets}
-	got, err := mesh.Call[mesh.PullQuery, mesh.Pulled](ctx, p.entry.mesh, c.Address, mesh.Pull, q)
+	got, err := mesh.Call[mesh.PullQuery, mesh.PullReply](ctx, p.entry.mesh, c.Address, mesh.Pull, q)
 	if err != nil {
 		p.entry.common.Log.Warn("pull from peer failed, retrying", "peer", c.Box, "err", err)
 		p.notify()
@@ -285,7 +285,7 @@
 	if got.At.IsZero() {
 		return
 	}
-	updates, err := got.News()
+	updates, err := got.TargetUpdates()
 	if err != nil {
 		p.entry.common.Log.Error("list of targets from peer rejected, keeping the present one", "peer", c.Box, "err", err)
 		return
@@ -294,14 +294,14 @@
 }
 
 // pull implements mesh.Pull.
-func (p *peering) pull(_ context.Context, q *mesh.PullQuery) (*mesh.Pulled, error) {
-	out := &mesh.Pulled{}
+func (p *peering) pull(_ context.Context, q *mesh.PullQuery) (*mesh.PullReply, error) {
+	out := &mesh.PullReply{}
 	if raw, edition := p.entry.view.document(); edition.After(q.Config) {
 		out.Config = &mesh.Document{At: edition.At, Raw: raw}
 	}
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		if r.Newest().After(q.Targets) {
-			out.At, out.Targets = r.Newest(), mesh.ListOf(r.All())
+			out.At, out.Targets = r.Newest(), mesh.NewTargetUpdates(r.All())
 		}
 	})
 	return out, nil
--- a/node/quarantine_sync.go
+++ b/node/quarantine_sync.go
@@ -124,7 +124,7 @@
 // receive adds the observations that another box sent.
 func (q *quarantineSync) receive(now time.Time, observations []mesh.WorkObservation, source string) {
 	for _, w := range observations {
-		q.observe(now, quarantine.Observation{Digest: w.Digest, Target: w.Target, At: now.Add(-w.Ago)}, source)
+		q.observe(now, quarantine.Observation{Digest: w.Digest, Target: w.Target, At: now.Add(-w.Age)}, source)
 	}
 }
 
@@ -135,7 +135,7 @@
 	defer q.mu.Unlock()
 	var list []mesh.WorkObservation
 	for _, w := range q.register.Latest(now, all) {
-		list = append(list, mesh.WorkObservation{Digest: w.Digest, Target: w.Target, Ago: now.Sub(w.At)})
+		list = append(list, mesh.WorkObservation{Digest: w.Digest, Target: w.Target, Age: now.Sub(w.At)})
 	}
 	return list
 }
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -73,7 +73,7 @@
 		return err
 	}
 	failed := make(chan error, 1)
-	go func() { process.Fail(failed, mesh.Serve(ctx, l, a.mux())) }()
+	go func() { process.ReportFailure(failed, mesh.Serve(ctx, l, a.mux())) }()
 	if err := process.NewServers(a.network, failed).ServeMetrics(a.common, a.settings().Metrics); err != nil {
 		return err
 	}
@@ -112,9 +112,9 @@
 	m := mesh.NewMux()
 	mesh.Handle(m, mesh.Watch, a.handleWatch)
 	mesh.Handle(m, mesh.Read, a.handleRead)
-	mesh.Handle(m, mesh.Command, a.handleCommand)
+	mesh.Handle(m, mesh.SendOrder, a.handleCommand)
 	mesh.Handle(m, mesh.Gather, a.handleGather)
-	mesh.Handle(m, mesh.Deal, a.handleDeal)
+	mesh.Handle(m, mesh.FanOut, a.handleDeal)
 	return m
 }
 
@@ -129,7 +129,7 @@
 		return nil, err
 	}
 	out := rankReport(r)
-	out.Knows = a.memberEpoch()
+	out.MembersEpoch = a.memberEpoch()
 	return out, nil
 }
 
@@ -153,7 +153,7 @@
 		a.election.MembersReceived(clock.Now())
 	}
 	a.epoch, a.shape = q.Epoch, q.Shape
-	a.forwarders.Add(clock.Now(), q.Helpers)
+	a.forwarders.Add(clock.Now(), q.Forwarders)
 	a.members = make(map[int]mesh.Member, len(q.Members))
 	for _, m := range q.Members {
 		a.members[m.Rank] = m
@@ -207,7 +207,7 @@
 func rankReport(r platform.Report) *mesh.RankReport {
 	return &mesh.RankReport{
 		Born: r.Born, Group: r.Rank.Group, Rank: r.Rank.Number, Size: r.Rank.Size, State: r.State,
-		Running: r.Running, Waiting: r.Waiting, Pace: r.Pace, Leaving: r.Leaving,
+		Running: r.Running, Waiting: r.Waiting, Slowdown: r.Pace, Leaving: r.Leaving,
 	}
 }
 
@@ -228,19 +228,19 @@
 		return nil, err
 	}
 	out := rankReport(r)
-	if q.Picked {
+	if q.WantExpertCounts {
 		born, counts, err := a.engine.Counts(ctx)
 		if err != nil {
 			return nil, err
 		}
-		out.Picked = a.countDeltas.Since(clock.Now(), distribution.Requester{Group: r.Rank.Group, Rank: q.From}, born, counts)
+		out.ExpertCounts = a.countDeltas.Since(clock.Now(), distribution.Requester{Group: r.Rank.Group, Rank: q.From}, born, counts)
 	}
-	if q.Holds {
+	if q.WantExperts {
 		version, holds, err := a.engine.Holds(ctx)
 		if err != nil {
 			return nil, err
 		}
-		out.State.Map, out.Holds = version, holds
+		out.State.Map, out.Experts = version, holds
 	}
 	return out, nil
 }
--- a/node/rank/dispatching.go
+++ b/node/rank/dispatching.go
@@ -28,7 +28,7 @@
 		calls = g.sendBatches(ctx, calls, distributionTime)
 	}
 	for _, c := range calls {
-		call := mesh.CallOf(c)
+		call := mesh.NewOrderCall(c)
 		if c.Rank != g.rank && !g.unresponsive.contains(c.Rank) {
 			call = g.sentMaps.Shorten(c.Rank, call)
 		}
@@ -127,7 +127,7 @@
 		byRank[c.Rank] = c
 		ranks = append(ranks, c.Rank)
 	}
-	order := g.sentMaps.Shorten(calls[0].Rank, mesh.CallOf(calls[0]))
+	order := g.sentMaps.Shorten(calls[0].Rank, mesh.NewOrderCall(calls[0]))
 	var rest []orders.Call
 	for _, a := range g.relays.Assign(ranks, g.usesRelay) {
 		var assigned []orders.Call
@@ -138,7 +138,7 @@
 			rest = append(rest, assigned...)
 			continue
 		}
-		call := &mesh.DealCall{Ranks: a.Ranks, Order: *order, Left: timeout}
+		call := &mesh.FanOutCall{Ranks: a.Ranks, Order: *order, Timeout: timeout}
 		go g.sendBatch(ctx, g.members[a.Relay].Agent, call, assigned, timeout)
 	}
 	return rest
@@ -154,7 +154,7 @@
 		}
 		batch := calls[:min(forwarderBatch, len(calls))]
 		calls = calls[len(batch):]
-		call := &mesh.DealCall{Order: *mesh.CallOf(batch[0]), Left: orderTimeout}
+		call := &mesh.FanOutCall{Order: *mesh.NewOrderCall(batch[0]), Timeout: orderTimeout}
 		for _, c := range batch {
 			call.Engines = append(call.Engines, g.members[c.Rank].Target)
 		}
@@ -166,12 +166,12 @@
 // sendBatch sends an order for several ranks to the process at the address. Whole maps for
 // relays are not limited by mapSends as those for single ranks are: there are ten
 // relays, and a relay responds only once all its ranks have, so that two at a time took a second.
-func (g *groupCoordinator) sendBatch(ctx context.Context, address string, call *mesh.DealCall, calls []orders.Call, timeout time.Duration) {
+func (g *groupCoordinator) sendBatch(ctx context.Context, address string, call *mesh.FanOutCall, calls []orders.Call, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := mesh.Call[mesh.DealCall, mesh.DealReply](ctx, g.agent.mesh, address, mesh.Deal, call)
-	if err == nil && len(reply.Dealt) != len(calls) {
-		err = fault.New(fault.BadRequest, "batch response has %d results for %d orders", len(reply.Dealt), len(calls))
+	reply, err := mesh.Call[mesh.FanOutCall, mesh.FanOutReply](ctx, g.agent.mesh, address, mesh.FanOut, call)
+	if err == nil && len(reply.Results) != len(calls) {
+		err = fault.New(fault.BadRequest, "batch response has %d results for %d orders", len(reply.Results), len(calls))
 	}
 	if err != nil && len(call.Engines) > 0 {
 		g.agent.forwarders.ReportFailure(address)
@@ -180,14 +180,14 @@
 }
 
 // batchResults converts the response to a batch into the outcome of each call.
-func batchResults(calls []orders.Call, call *mesh.DealCall, reply *mesh.DealReply, err error) batchDone {
+func batchResults(calls []orders.Call, call *mesh.FanOutCall, reply *mesh.FanOutReply, err error) batchDone {
 	var all batchDone
 	for i, c := range calls {
 		done := orderDone{call: c, viaAgent: len(call.Ranks) > 0, result: orders.Lost, err: err}
 		if err == nil {
-			done.result = reply.Dealt[i].Result
+			done.result = reply.Results[i].Result
 			switch {
-			case reply.Dealt[i].UnknownBase:
+			case reply.Results[i].UnknownBase:
 				done.err = mesh.UnknownBase(call.Order.Base)
 			case done.result == orders.Lost:
 				done.err = errNotRelayed
@@ -221,7 +221,7 @@
 	default:
 		var reply *mesh.OrderReply
 		done.viaAgent = true
-		reply, done.err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, g.agent.mesh, m.Agent, mesh.Command, call)
+		reply, done.err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, g.agent.mesh, m.Agent, mesh.SendOrder, call)
 		if done.err == nil {
 			done.result = reply.Result
 		}
--- a/node/rank/groupcoordinator.go
+++ b/node/rank/groupcoordinator.go
@@ -110,7 +110,7 @@
 	epoch      orders.Epoch
 	withCounts bool
 	startedAt  time.Time
-	report     *mesh.Gathered
+	report     *mesh.GatherReply
 	err        error
 }
 
--- a/node/rank/orders.go
+++ b/node/rank/orders.go
@@ -42,9 +42,9 @@
 // that box received, and the group stays held until the box is back. A failed box without a
 // rank of the group leaves no such doubt, since every engine can still be read.
 func (a *Agent) sendViaForwarder(ctx context.Context, forwarder string, m mesh.Member, c orders.Call) (orders.Result, error) {
-	call := mesh.CallOf(c)
+	call := mesh.NewOrderCall(c)
 	call.Engine = m.Target
-	reply, err := mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, forwarder, mesh.Command, call)
+	reply, err := mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, forwarder, mesh.SendOrder, call)
 	if err != nil {
 		a.forwarders.ReportFailure(forwarder)
 		return orders.Lost, err
--- a/node/rank/planning.go
+++ b/node/rank/planning.go
@@ -49,7 +49,7 @@
 	if v := report.State.Map; v != g.expertsVersion {
 		g.experts, g.expertsVersion = map[int][][]int{}, v
 	}
-	g.experts[rank] = report.Holds
+	g.experts[rank] = report.Experts
 	if _, known := g.coord.Current(); known || len(g.experts) < g.size {
 		return
 	}
@@ -74,7 +74,7 @@
 	}
 	s := g.agent.settings()
 	p := rebalance.Planner{
-		Shape: g.shape, Slowdowns: g.slowdowns, Horizon: s.Horizon.Std(), CopySlowdown: copySlowdown, MaxCopies: s.Copies(g.shape.CopyTime), MinSaving: s.LeastSaving,
+		Shape: g.shape, Slowdowns: g.slowdowns, Horizon: s.Horizon.Std(), CopySlowdown: copySlowdown, MaxCopies: s.MaxCopies(g.shape.CopyTime), MinSaving: s.MinSaving,
 		Overhead: g.overhead,
 	}
 	plan := p.Plan(rebalance.Map(current), load)
--- a/node/rank/reading.go
+++ b/node/rank/reading.go
@@ -31,7 +31,7 @@
 	if withCounts {
 		g.lastCountsRead = clock.Now()
 	}
-	q := mesh.ReadQuery{From: g.rank, Picked: withCounts, Holds: !known}
+	q := mesh.ReadQuery{From: g.rank, WantExpertCounts: withCounts, WantExperts: !known}
 	var viaRelay []int
 	for r, m := range g.members {
 		if g.readInFlight[r] || !wanted(r) {
@@ -62,11 +62,11 @@
 	for _, a := range g.relays.Assign(ranks, g.usesRelay) {
 		if a.Relay == distribution.NoRelay {
 			for _, r := range a.Ranks {
-				go g.readRank(ctx, r, g.members[r], &q, readDone{rank: r, epoch: e, withCounts: q.Picked, startedAt: clock.Now()})
+				go g.readRank(ctx, r, g.members[r], &q, readDone{rank: r, epoch: e, withCounts: q.WantExpertCounts, startedAt: clock.Now()})
 			}
 			continue
 		}
-		done := gatherDone{assignment: a, epoch: e, withCounts: q.Picked, startedAt: clock.Now()}
+		done := gatherDone{assignment: a, epoch: e, withCounts: q.WantExpertCounts, startedAt: clock.Now()}
 		go g.readViaRelay(ctx, g.members[a.Relay], &mesh.GatherQuery{Epoch: e, Ranks: a.Ranks, Read: q}, done)
 	}
 }
@@ -75,7 +75,7 @@
 func (g *groupCoordinator) readViaRelay(ctx context.Context, relay mesh.Member, q *mesh.GatherQuery, done gatherDone) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	done.report, done.err = mesh.Call[mesh.GatherQuery, mesh.Gathered](ctx, g.agent.mesh, relay.Agent, mesh.Gather, q)
+	done.report, done.err = mesh.Call[mesh.GatherQuery, mesh.GatherReply](ctx, g.agent.mesh, relay.Agent, mesh.Gather, q)
 	g.unresponsive.recordRead(done.assignment.Relay, done.err)
 	g.results <- done
 }
@@ -108,7 +108,7 @@
 	if !g.observe(now, e.rank, e.report) {
 		return
 	}
-	if e.withCounts && g.counts.Add(e.rank, e.report.Picked) {
+	if e.withCounts && g.counts.Add(e.rank, e.report.ExpertCounts) {
 		g.handleCounts()
 	}
 	g.planIfDue(now)
@@ -142,7 +142,7 @@
 			g.recordReadResult(r, errNotRelayed)
 		}
 	}
-	if e.withCounts && g.counts.AddSum(ranks, e.report.Picked) {
+	if e.withCounts && g.counts.AddSum(ranks, e.report.ExpertCounts) {
 		g.handleCounts()
 	}
 	g.planIfDue(now)
@@ -170,8 +170,8 @@
 	if !g.coord.Observe(now, rank, r.State) {
 		return false
 	}
-	g.recordSlowdown(rank, r.Pace)
-	if r.Holds != nil {
+	g.recordSlowdown(rank, r.Slowdown)
+	if r.Experts != nil {
 		g.recordExperts(rank, r)
 	}
 	return true
@@ -209,5 +209,5 @@
 // transferTime returns the time to transfer the bytes on the given share of this box's link.
 func (g *groupCoordinator) transferTime(bytes int, share float64) time.Duration {
 	const bitsPerByte, mega = 8, 1e6
-	return time.Duration(float64(bytes*bitsPerByte) / (g.agent.settings().Link * mega * share) * float64(time.Second))
+	return time.Duration(float64(bytes*bitsPerByte) / (g.agent.settings().LinkMbps * mega * share) * float64(time.Second))
 }
--- a/node/rank/relaying.go
+++ b/node/rank/relaying.go
@@ -20,7 +20,7 @@
 
 // handleGather reads ranks of the own group for its coordinator. The response leaves out ranks
 // that do not respond in time.
-func (a *Agent) handleGather(ctx context.Context, q *mesh.GatherQuery) (*mesh.Gathered, error) {
+func (a *Agent) handleGather(ctx context.Context, q *mesh.GatherQuery) (*mesh.GatherReply, error) {
 	members, ok := a.membersIn(q.Epoch)
 	if !ok {
 		return nil, fault.New(fault.BadRequest, "members of the group in epoch %d were not received", q.Epoch)
@@ -57,21 +57,21 @@
 }
 
 // gatherReply combines the reports into one response. A nil report is left out.
-func gatherReply(ranks []int, reports []*mesh.RankReport) *mesh.Gathered {
-	out := &mesh.Gathered{}
-	var counts []*mesh.Picked
+func gatherReply(ranks []int, reports []*mesh.RankReport) *mesh.GatherReply {
+	out := &mesh.GatherReply{}
+	var counts []*mesh.ExpertCounts
 	for i, r := range reports {
 		if r != nil {
-			out.Ranks = append(out.Ranks, mesh.WordOf(ranks[i], r))
-			counts = append(counts, r.Picked)
+			out.Ranks = append(out.Ranks, mesh.NewRankStatus(ranks[i], r))
+			counts = append(counts, r.ExpertCounts)
 		}
 	}
-	out.Picked = mesh.Sum(counts)
+	out.ExpertCounts = mesh.SumExpertCounts(counts)
 	return out
 }
 
 // handleDeal sends an order to ranks of the own group, or to the engines that the call names.
-func (a *Agent) handleDeal(ctx context.Context, c *mesh.DealCall) (*mesh.DealReply, error) {
+func (a *Agent) handleDeal(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
 	if len(c.Engines) > 0 {
 		return ForwardToEngines(ctx, a.common, a.http, c)
 	}
@@ -79,14 +79,14 @@
 	if !ok {
 		return nil, fault.New(fault.BadRequest, "members of the group in epoch %d were not received", c.Order.Epoch)
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.Left)
+	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	reply := &mesh.DealReply{Dealt: make([]mesh.Dealt, len(c.Ranks))}
+	reply := &mesh.FanOutReply{Results: make([]mesh.FanOutResult, len(c.Ranks))}
 	var sends sync.WaitGroup
 	for i, r := range c.Ranks {
-		reply.Dealt[i].Result = orders.Lost
+		reply.Results[i].Result = orders.Lost
 		if m, known := members[r]; known {
-			sends.Go(func() { reply.Dealt[i] = a.relayOrder(ctx, m, c.Order) })
+			sends.Go(func() { reply.Results[i] = a.relayOrder(ctx, m, c.Order) })
 		}
 	}
 	sends.Wait()
@@ -94,7 +94,7 @@
 }
 
 // relayOrder sends the order to the own or another rank.
-func (a *Agent) relayOrder(ctx context.Context, m mesh.Member, o mesh.OrderCall) mesh.Dealt {
+func (a *Agent) relayOrder(ctx context.Context, m mesh.Member, o mesh.OrderCall) mesh.FanOutResult {
 	var reply *mesh.OrderReply
 	var err error
 	if o.Prepare != nil {
@@ -104,12 +104,12 @@
 	if m.Agent == a.settings().Peers {
 		reply, err = a.handleCommand(ctx, &o)
 	} else {
-		reply, err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, m.Agent, mesh.Command, &o)
+		reply, err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, m.Agent, mesh.SendOrder, &o)
 	}
 	if err != nil {
-		return mesh.Dealt{Result: orders.Lost, UnknownBase: mesh.IsUnknownBase(err)}
+		return mesh.FanOutResult{Result: orders.Lost, UnknownBase: mesh.IsUnknownBase(err)}
 	}
-	return mesh.Dealt{Result: reply.Result}
+	return mesh.FanOutResult{Result: reply.Result}
 }
 
 // maxForwardTime bounds the time spent on forwarding an order of another group, whatever
@@ -118,14 +118,14 @@
 
 // ForwardToEngines sends one order to all engines that the call names, on behalf of another
 // group's coordinator.
-func ForwardToEngines(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.DealCall) (*mesh.DealReply, error) {
+func ForwardToEngines(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.FanOutCall) (*mesh.FanOutReply, error) {
 	o := call.Order.Order()
 	if o == nil {
 		return nil, fault.New(fault.BadRequest, "call to forward an order to %d engines contains no order", len(call.Engines))
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(call.Left, maxForwardTime))
+	ctx, cancel := context.WithTimeout(ctx, min(call.Timeout, maxForwardTime))
 	defer cancel()
-	reply := &mesh.DealReply{Dealt: make([]mesh.Dealt, len(call.Engines))}
+	reply := &mesh.FanOutReply{Results: make([]mesh.FanOutResult, len(call.Engines))}
 	var sends sync.WaitGroup
 	for i, address := range call.Engines {
 		sends.Go(func() {
@@ -135,7 +135,7 @@
 				c.Log.Debug("engine did not respond to forwarded order; reporting it as lost", "engine", address, "order", orders.Name(o), "err", err)
 				res = orders.Lost
 			}
-			reply.Dealt[i].Result = res
+			reply.Results[i].Result = res
 		})
 	}
 	sends.Wait()
