--- a/admission/doc.go
+++ b/admission/doc.go
@@ -4,6 +4,6 @@
 // # Usage
 //
 //	g := admission.NewGate()
-//	r := admission.Request{Route: "r", Remaining: remaining, FirstByteSLO: slo, FirstByte: f, Wait: w}
+//	r := admission.Request{Route: "r", Remaining: remaining, LatencyObjective: objective, FirstByte: f, Wait: w}
 //	ok, retryAfter := g.Admit(r, rnd.Float64())
 package admission
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -14,9 +14,9 @@
 
 // Request is a request at a Gate.
 type Request struct {
-	Route        string
-	Remaining    time.Duration // time to the caller's deadline
-	FirstByteSLO time.Duration // time within which the answer must begin; 0 for none
+	Route            string
+	Remaining        time.Duration // time to the caller's deadline
+	LatencyObjective time.Duration // time within which the answer must begin; 0 for none
 	// FirstByte is the expected time until the answer begins, Wait the part of it that the request
 	// would wait for a slot.
 	FirstByte, Wait time.Duration
@@ -50,10 +50,10 @@
 // together.
 func (g *Gate) Admit(r Request, spread float64) (bool, time.Duration) {
 	retry := g.isRetry(r)
-	if r.FirstByteSLO == 0 || r.Wait == 0 {
+	if r.LatencyObjective == 0 || r.Wait == 0 {
 		return true, 0
 	}
-	maxWait := r.FirstByteSLO - (r.FirstByte - r.Wait)
+	maxWait := r.LatencyObjective - (r.FirstByte - r.Wait)
 	if !retry {
 		maxWait = time.Duration(float64(maxWait) * firstTryShare)
 	}
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -14,7 +14,7 @@
 )
 
 func request(remaining, wait time.Duration) admission.Request {
-	return admission.Request{Route: "r", Remaining: remaining, FirstByteSLO: slo, FirstByte: firstByte + wait, Wait: wait}
+	return admission.Request{Route: "r", Remaining: remaining, LatencyObjective: slo, FirstByte: firstByte + wait, Wait: wait}
 }
 
 func TestGateAdmitsRequestsThatMeetTheSLO(t *testing.T) {
@@ -29,7 +29,7 @@
 		{"the same wait for a retry", request(5*time.Second, 150*time.Millisecond), true},
 		{"a wait too long for any request", request(5*time.Second, 250*time.Millisecond), false},
 		{"no SLO", admission.Request{Route: "r", Remaining: fullTime, FirstByte: time.Hour, Wait: time.Hour}, true},
-		{"too late without waiting", admission.Request{Route: "r", Remaining: fullTime, FirstByteSLO: slo, FirstByte: time.Second}, true},
+		{"too late without waiting", admission.Request{Route: "r", Remaining: fullTime, LatencyObjective: slo, FirstByte: time.Second}, true},
 	}
 	for _, tc := range tests {
 		g := admission.NewGate()
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -42,8 +42,8 @@
 		a.firstByteTimer = clock.AfterFunc(a.try.FirstByteDeadline, func() { cancel(errFirstByteTimeout) })
 		defer a.firstByteTimer.Stop()
 	}
-	if aim := a.d.req.route.LatencyObjective(); aim > 0 {
-		a.overdueTimer = clock.AfterFunc(clock.Now().Add(time.Duration(overdueAims*float64(aim))), a.lease.ResponseOverdue)
+	if objective := a.d.req.route.LatencyObjective(); objective > 0 {
+		a.overdueTimer = clock.AfterFunc(clock.Now().Add(time.Duration(overdueFactor*float64(objective))), a.lease.ResponseOverdue)
 		defer a.overdueTimer.Stop()
 	}
 	end, verdict := a.roundTrip(ctx)
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -13,23 +13,24 @@
 	"clovertrail.dev/retry"
 )
 
-// firstByteTimeoutAims is the timeout for the first byte of a response, as a multiple of the
-// route's aim; after it the request is sent to another target. Responses in time begin within one
-// aim, and few of those later than this multiple begin at all (docs/design/platform.md).
-const firstByteTimeoutAims = 3
+// firstByteTimeoutFactor is the timeout for the first byte of a response, as a multiple of the
+// route's latency objective; after it the request is sent to another target. Responses in time begin
+// within the objective, and few of those later than this multiple begin at all
+// (docs/design/platform.md).
+const firstByteTimeoutFactor = 3
 
-// overdueAims is the time, as a multiple of the route's aim, after which a response that has not
-// begun is reported to other boxes, which may see the same of its target.
-const overdueAims = 1.5
+// overdueFactor is the time, as a multiple of the route's latency objective, after which a response
+// that has not begun is reported to other boxes, which may see the same of its target.
+const overdueFactor = 1.5
 
 // delivery runs one request through its attempts.
 type delivery struct {
-	g      *Gateway
-	req    *inboundRequest
-	w      http.ResponseWriter
-	course *retry.Machine
-	budget retry.Budget
-	tried  []domain.InstanceID
+	g       *Gateway
+	req     *inboundRequest
+	w       http.ResponseWriter
+	machine *retry.Machine
+	budget  retry.Budget
+	tried   []domain.InstanceID
 
 	headSent     bool   // the response head was sent to the caller
 	status       int    // status sent to the caller
@@ -49,10 +50,10 @@
 	d := &delivery{g: g, req: req, w: w, after: req.After(), budget: g.deps.Budget(req.service)}
 	rules := retry.Rules{
 		Repeat: req.route.MayRepeat(), Resume: req.route.MayResume(), MaxAttempts: req.route.MaxAttempts(),
-		Deadline: req.deadline, FirstByteTimeout: firstByteTimeoutAims * req.route.LatencyObjective(),
+		Deadline: req.deadline, FirstByteTimeout: firstByteTimeoutFactor * req.route.LatencyObjective(),
 	}
-	d.course = retry.NewMachine(rules, d.budget)
-	for cmd := d.course.Start(req.arrived); ; {
+	d.machine = retry.NewMachine(rules, d.budget)
+	for cmd := d.machine.Start(req.arrived); ; {
 		if callerGone(ctx) {
 			g.logCallerGone(req, d)
 			panic(http.ErrAbortHandler)
@@ -81,18 +82,18 @@
 	now := clock.Now()
 	// Checked before each attempt: work that ended the target of one attempt must not reach another.
 	if until, barred := d.g.deps.Quarantine.Barred(now, d.req.digest); barred {
-		return d.course.Barred(now, fault.New(fault.Quarantined, "targets ended under this work").RetryAt(until))
+		return d.machine.Barred(now, fault.New(fault.Quarantined, "targets ended under this work").RetryAt(until))
 	}
 	lease, err := d.g.deps.Fleet.Acquire(ctx, now, Query{
 		Service: d.req.service, Tried: d.tried, First: len(d.tried) == 0,
-		Route: d.req.route.Name(), Aim: d.req.route.LatencyObjective(), Deadline: d.req.deadline,
+		Route: d.req.route.Name(), LatencyObjective: d.req.route.LatencyObjective(), Deadline: d.req.deadline,
 	})
 	if err != nil {
 		f := fault.Find(err)
 		if f == nil {
 			f = fault.New(fault.Internal, "%v", err)
 		}
-		return d.course.NoTarget(now, f)
+		return d.machine.NoTarget(now, f)
 	}
 	d.tried = append(d.tried, lease.Target().ID())
 	a := &attempt{d: d, lease: lease, try: t}
@@ -101,7 +102,7 @@
 	if _, served := end.(retry.Answered); served {
 		d.g.deps.Quarantine.WorkServed(clock.Now(), d.req.digest)
 	}
-	cmd := d.course.Ended(clock.Now(), end)
+	cmd := d.machine.Ended(clock.Now(), end)
 	d.g.logAttempt(d.req, a, end, cmd)
 	return cmd
 }
--- a/gateway/describe.go
+++ b/gateway/describe.go
@@ -6,7 +6,7 @@
 	"clovertrail.dev/retry"
 )
 
-// describe returns a short description of the end of an attempt or of a retry command, for a log line.
+// describe returns a short description of the outcome of an attempt or of a retry command, for a log line.
 func describe(x any) string {
 	switch x := x.(type) {
 	case retry.Answered:
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -36,8 +36,8 @@
 	// lack of capacity.
 	First bool
 	Route string
-	// Aim is the time within which the response has to begin to meet the route's objective.
-	Aim time.Duration
+	// LatencyObjective is the time within which the response has to begin to meet the route's objective.
+	LatencyObjective time.Duration
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
 }
@@ -60,9 +60,9 @@
 	ResponseOverdue()
 	// ResponseStarted records that the response has begun.
 	ResponseStarted()
-	// ReportEventGap records the time between two events of the response. The aim is the longest
-	// gap that meets the route's objective; 0 if the route has none.
-	ReportEventGap(gap, aim time.Duration)
+	// ReportEventGap records the time between two events of the response. The objective is the
+	// longest gap that the route allows; 0 if it has none.
+	ReportEventGap(gap, objective time.Duration)
 	// IsStraggler reports whether streams are to be moved from this target to others, because it
 	// lengthens the steps of its whole group too much.
 	IsStraggler(now time.Time, tried []domain.InstanceID) bool
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -22,7 +22,7 @@
 		return
 	}
 	if _, again := cmd.(retry.Try); again {
-		reasons := a.d.course.Reasons()
+		reasons := a.d.machine.Reasons()
 		g.deps.Common.Metrics.Retried(reasons[len(reasons)-1])
 	}
 	attrs := []any{"request", req.ID(), "digest", req.digest, "target", a.lease.Target().ID(), "attempt", a.try.Attempt,
@@ -42,7 +42,7 @@
 		m.Observe(telemetry.Pause, "", d.maxGap)
 	}
 	attrs := []any{"request", req.ID(), "digest", req.digest, "route", req.route.Name(), "organisation", req.org.Name,
-		"target", d.tried[len(d.tried)-1], "status", d.status, "attempts", d.course.Attempts(), "events", d.events, "pause", d.maxGap,
+		"target", d.tried[len(d.tried)-1], "status", d.status, "attempts", d.machine.Attempts(), "events", d.events, "pause", d.maxGap,
 		"first", d.firstByteAt.Sub(req.arrived), "after", clock.Since(req.arrived)}
 	g.deps.Common.Log.Info("request answered", withLimit(attrs, d.limit)...)
 }
@@ -59,7 +59,7 @@
 func (g *Gateway) logAborted(req *inboundRequest, d *delivery, err *fault.Error) {
 	g.deps.Common.Metrics.Count(telemetry.Answers, "broken", 1)
 	g.deps.Common.Log.Warn("answer broken off", "request", req.ID(), "digest", req.digest, "route", req.route.Name(), "service", req.service,
-		"attempts", d.course.Attempts(), "events", d.events, "kind", err.Kind(), "err", err, "after", clock.Since(req.arrived))
+		"attempts", d.machine.Attempts(), "events", d.events, "kind", err.Kind(), "err", err, "after", clock.Since(req.arrived))
 }
 
 // logCallerGone logs and counts a request whose connection ended before its response: the caller
@@ -68,10 +68,10 @@
 	if end := g.stopAt.Load(); end != nil && !clock.Now().Before(*end) {
 		g.deps.Common.Metrics.Count(telemetry.Answers, "cut by the stop", 1)
 		g.deps.Common.Log.Error("planned stop timed out before the response was complete", "request", req.ID(), "digest", req.digest, "route", req.route.Name(),
-			"attempts", d.course.Attempts(), "events", d.events, "after", clock.Since(req.arrived))
+			"attempts", d.machine.Attempts(), "events", d.events, "after", clock.Since(req.arrived))
 		return
 	}
 	g.deps.Common.Metrics.Refused(fault.Cancelled)
 	g.deps.Common.Log.Info("caller left", "request", req.ID(), "digest", req.digest, "route", req.route.Name(),
-		"attempts", d.course.Attempts(), "events", d.events, "after", clock.Since(req.arrived))
+		"attempts", d.machine.Attempts(), "events", d.events, "after", clock.Since(req.arrived))
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -91,8 +91,8 @@
 // shouldMove reports whether the stream is to be resumed at another target, because its events come
 // too late and this target causes that. The budget is charged for the move.
 func (a *attempt) shouldMove(now time.Time) bool {
-	aim := a.d.req.route.EventGapObjective()
-	return a.try.Movable && aim > 0 && a.gap > aim && a.lease.IsStraggler(now, a.d.tried) && a.d.budget.SpendRetry(now)
+	objective := a.d.req.route.EventGapObjective()
+	return a.try.Movable && objective > 0 && a.gap > objective && a.lease.IsStraggler(now, a.d.tried) && a.d.budget.SpendRetry(now)
 }
 
 // recordEvents counts n events that are sent to the caller now.
--- a/node/choosing.go
+++ b/node/choosing.go
@@ -123,12 +123,12 @@
 // admit refuses a request that would wait too long for a slot; mu is held.
 func (f *fleet) admit(now time.Time, q gateway.Query, o routing.Option) error {
 	begins, wait := f.balancer.EstimateFirstByte(now, o)
-	ask := admission.Request{Route: q.Route, Remaining: q.Deadline.Sub(now), FirstByteSLO: q.Aim, FirstByte: begins, Wait: wait}
+	ask := admission.Request{Route: q.Route, Remaining: q.Deadline.Sub(now), LatencyObjective: q.LatencyObjective, FirstByte: begins, Wait: wait}
 	ok, rest := f.gate.Admit(ask, rand.Float64())
 	if ok || !q.First {
 		return nil
 	}
-	return fault.New(fault.Overloaded, "an answer would begin after %v, %v of it waiting; it should within %v", begins, wait, q.Aim).
+	return fault.New(fault.Overloaded, "an answer would begin after %v, %v of it waiting; it should within %v", begins, wait, q.LatencyObjective).
 		RetryAt(now.Add(rest))
 }
 
--- a/node/place.go
+++ b/node/place.go
@@ -91,8 +91,10 @@
 }
 
 // ReportEventGap implements gateway.Lease.
-func (p *place) ReportEventGap(pause, aim time.Duration) {
-	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.RecordPause(clock.Now(), p.option, pause, aim) })
+func (p *place) ReportEventGap(pause, objective time.Duration) {
+	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) {
+		b.RecordPause(clock.Now(), p.option, pause, objective)
+	})
 }
 
 // Release implements gateway.Lease.
