--- a/node/adverts.go
+++ b/node/adverts.go
@@ -19,14 +19,14 @@
 // what the other box may have missed of works in quarantine.
 func (p *peering) advert(news, all bool) *mesh.Advert {
 	now := clock.Now()
-	others := toldEach
+	others := otherLimitsPerRound
 	if news {
 		others = 0
 	}
-	own := p.level()
+	own := p.storeProgress()
 	failureReports, works := p.failureReports(now), p.entry.quarantine.observations(now, all)
-	limits, apart := p.entry.limiting.reports(now, others), p.entry.limiting.apart(now)
-	limited := p.entry.fleet.knowsLimits()
+	limits, apart := p.entry.limiting.reportsForPeers(now, others), p.entry.limiting.usesFallback(now)
+	limited := p.entry.fleet.hasLimits()
 	var leavers []domain.InstanceID
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { leavers = r.LeavingTargets(now) })
 	p.mu.Lock()
@@ -38,7 +38,7 @@
 		Limits: limits, Blank: !p.briefed,
 	}
 	if limited {
-		a.Share = p.share(now, apart)
+		a.Share = p.shareReport(now, apart)
 	}
 	if news {
 		return a
@@ -49,8 +49,8 @@
 	return a
 }
 
-// share is how this box shares limits; mu is held.
-func (p *peering) share(now time.Time, apart bool) *mesh.ShareReport {
+// shareReport is how this box shares limits; mu is held.
+func (p *peering) shareReport(now time.Time, apart bool) *mesh.ShareReport {
 	return &mesh.ShareReport{Boxes: p.boxes.LimitSharers(now), Apart: apart, Settled: p.boxes.Settled(now)}
 }
 
@@ -62,8 +62,8 @@
 	return membership.Contact{Box: c.Box, Address: c.Address, Incarnation: c.Incarnation, Hall: c.Hall}
 }
 
-// shareFrom gives nothing for a box that knows no limits.
-func shareFrom(w *mesh.ShareReport) membership.ShareReport {
+// shareReportFrom gives nothing for a box that knows no limits.
+func shareReportFrom(w *mesh.ShareReport) membership.ShareReport {
 	if w == nil {
 		return membership.ShareReport{}
 	}
@@ -81,22 +81,22 @@
 	return list
 }
 
-// takeFailureReports takes what other boxes report against targets.
-func (p *peering) takeFailureReports(now time.Time, list []mesh.FailureReport) {
+// receiveFailureReports takes what other boxes report against targets.
+func (p *peering) receiveFailureReports(now time.Time, list []mesh.FailureReport) {
 	if len(list) == 0 {
 		return
 	}
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
 		for _, c := range list {
 			if r.ReceiveFailureReport(now, membership.FailureReport{Target: c.Target, By: c.By, At: now.Add(-c.Ago)}) {
-				p.entry.fleet.ejected(c.Target)
+				p.entry.fleet.onEjected(c.Target)
 			}
 		}
 	})
 }
 
-// level is how far this box knows what the store holds.
-func (p *peering) level() membership.StoreProgress {
+// storeProgress is how far this box knows what the store holds.
+func (p *peering) storeProgress() membership.StoreProgress {
 	_, edition := p.entry.view.document()
 	l := membership.StoreProgress{Config: edition}
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { l.Targets = r.Newest() })
@@ -112,19 +112,19 @@
 	reply := p.advert(a.News, false)
 	reply.Remembered = before
 	if a.Blank {
-		p.brief(reply)
+		p.addLimits(reply)
 	}
 	return reply, nil
 }
 
-// brief adds to an advert what a box that has just started is to know of limits.
-func (p *peering) brief(reply *mesh.Advert) {
+// addLimits adds to an advert what a box that has just started is to know of limits.
+func (p *peering) addLimits(reply *mesh.Advert) {
 	now := clock.Now()
-	reply.Limits = p.entry.limiting.reports(now, math.MaxInt)
-	apart := p.entry.limiting.apart(now)
+	reply.Limits = p.entry.limiting.reportsForPeers(now, math.MaxInt)
+	apart := p.entry.limiting.usesFallback(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	reply.Share = p.share(now, apart)
+	reply.Share = p.shareReport(now, apart)
 }
 
 // receive takes an advert. If it shows that this box is behind, a round follows in
@@ -132,17 +132,17 @@
 func (p *peering) receive(a *mesh.Advert) {
 	now := clock.Now()
 	p.entry.timeline.observe(store.Later(a.Targets, a.Config.At), "peer "+string(a.Self.Box))
-	own := p.level()
-	p.takeFailureReports(now, a.FailureReports)
+	own := p.storeProgress()
+	p.receiveFailureReports(now, a.FailureReports)
 	for _, id := range a.Leavers {
-		p.entry.fleet.leaves(now, id, "peer "+string(a.Self.Box))
+		p.entry.fleet.leavingReported(now, id, "peer "+string(a.Self.Box))
 	}
 	p.entry.quarantine.receive(now, a.Works, "peer "+string(a.Self.Box))
-	p.entry.limiting.receive(now, a.Limits, "peer "+string(a.Self.Box))
+	p.entry.limiting.receiveReports(now, a.Limits, "peer "+string(a.Self.Box))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.boxes.Receive(now, contactFrom(a.Self), a.Hall, membership.StoreProgress{Config: a.Config, Targets: a.Targets}, a.Leaving)
-	p.boxes.ReceiveShareReport(a.Self.Box, shareFrom(a.Share))
+	p.boxes.ReceiveShareReport(a.Self.Box, shareReportFrom(a.Share))
 	for _, c := range a.Known {
 		p.boxes.ReceiveIndirect(now, contactFrom(c), c.Ago)
 	}
--- a/node/entry.go
+++ b/node/entry.go
@@ -21,8 +21,8 @@
 
 // The times of connections to targets and the store.
 const (
-	// sweepEvery is the time between two looks for connections that are too old.
-	sweepEvery = time.Second
+	// sweepInterval is the time between two looks for connections that are too old.
+	sweepInterval = time.Second
 )
 
 // Entry is the process of an entry box.
@@ -45,7 +45,7 @@
 	timeline   *timeline
 	limiting   *limiting
 
-	standings map[domain.InstanceID]membership.Standing // as they were last logged; judge's own
+	loggedStandings map[domain.InstanceID]membership.Standing // as they were last logged; judge's own
 }
 
 // NewEntry returns the process. now gives its settings as they are now; those that
@@ -63,16 +63,16 @@
 		func() bool { return e.peering.isolated(clock.Now()) },
 		func() store.Era { return e.timeline.latest().Era() })
 	e.gateway = gateway.New(gateway.Dependencies{
-		Common: c, Headers: platform.Speech{}, Fleet: e.fleet, Pool: e.pool, Budget: e.budgets.purse,
+		Common: c, Headers: platform.Speech{}, Fleet: e.fleet, Pool: e.pool, Budget: e.budgets.forService,
 		Quarantine: e.quarantine,
 	})
 	e.peering = newPeering(e)
-	e.fleet.letDown, e.fleet.ejected, e.fleet.witness = e.peering.notify, e.noteEjected, e.witness
-	e.fleet.left = e.noteLeft
+	e.fleet.onFailure, e.fleet.onEjected, e.fleet.witness = e.peering.notify, e.noteEjected, e.witness
+	e.fleet.onLeaving = e.noteLeft
 	e.limiting = newLimiting(e)
-	e.fleet.limited, e.fleet.permits = e.limiting.named, e.limiting.permits
+	e.fleet.onLimitChanged, e.fleet.requestPermit = e.limiting.limitChanged, e.limiting.requestPermit
 	e.surveying = newSurveying(e)
-	e.view = &view{common: c, fleet: e.fleet, adopt: e.adopt, moved: e.peering.notify}
+	e.view = &view{common: c, fleet: e.fleet, adopt: e.applyConfiguration, moved: e.peering.notify}
 	return e
 }
 
@@ -88,8 +88,8 @@
 	return ""
 }
 
-// adopt puts a configuration in force.
-func (e *Entry) adopt(c *catalog.Catalog) {
+// applyConfiguration puts a configuration in force.
+func (e *Entry) applyConfiguration(c *catalog.Catalog) {
 	e.gateway.Configure(c)
 	e.ready.configured.Store(true)
 }
@@ -109,7 +109,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	failed := make(chan error, 1)
-	door, err := e.listen(failed)
+	door, err := e.serveCallers(failed)
 	if err != nil {
 		return err
 	}
@@ -122,9 +122,9 @@
 		RecordStore: platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.stated),
 		timeline:    e.timeline,
 	}
-	e.follow(ctx, kept)
+	e.followStore(ctx, kept)
 	go e.quarantine.run(ctx, kept, e.settings().FirstStart)
-	go e.sweep(ctx)
+	go e.sweepConnections(ctx)
 	go e.judge(ctx)
 	if e.settings().AgentPort > 0 {
 		go newWatching(e).run(ctx)
@@ -134,25 +134,25 @@
 	case err := <-failed:
 		return err
 	}
-	return e.leave(door)
+	return e.stop(door)
 }
 
-func (e *Entry) follow(ctx context.Context, feed store.Feed) {
+func (e *Entry) followStore(ctx context.Context, feed store.Feed) {
 	configuration, targets := e.followConfiguration(feed), e.followTargets(feed)
 	e.surveying.follows(func() bool { return configuration.well.Load() && targets.well.Load() })
 	go configuration.run(ctx)
 	go targets.run(ctx)
 }
 
-func (e *Entry) sweep(ctx context.Context) {
+func (e *Entry) sweepConnections(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.SleepUntil(ctx, clock.Now().Add(sweepEvery))
+		clock.SleepUntil(ctx, clock.Now().Add(sweepInterval))
 		e.pool.Sweep(clock.Now())
 	}
 }
 
-// listen opens what callers and the platform ask. The door takes callers.
-func (e *Entry) listen(failed chan<- error) (*gateway.Listener, error) {
+// serveCallers opens what callers and the platform ask. The door takes callers.
+func (e *Entry) serveCallers(failed chan<- error) (*gateway.Listener, error) {
 	s := process.NewServers(e.network, failed)
 	limits := catalog.DefaultLimits()
 	door := gateway.NewListener(&http.Server{
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -21,39 +21,39 @@
 //
 // Lock order: mu is the only lock, and no I/O is done under it.
 type fleet struct {
-	mu       sync.Mutex
-	hall     domain.HallName
-	roster   *membership.Roster
-	balancer *routing.Balancer
-	gate     *admission.Gate
-	limits   *ratelimit.Register
-	askedAt  map[domain.ServiceName]time.Time          // when a target of the service was last asked for
-	letDown  func()                                    // called when a target let this box down, and others are to learn of it
-	ejected  func(domain.InstanceID)                   // called when a target is ejected as several boxes report failures of it
-	left     func(id domain.InstanceID, source string) // called when a target reports that it is leaving, and nothing did before
-	witness  func(domain.Target) string                // another process that is reached on the way to the target
-	limited  func(w ratelimit.Report, source string)   // called when a target has another limit than before
-	permits  permitting
-}
-
-// permitting gets permits for the first of the targets of the service that has any, and reports
+	mu             sync.Mutex
+	hall           domain.HallName
+	roster         *membership.Roster
+	balancer       *routing.Balancer
+	gate           *admission.Gate
+	limits         *ratelimit.Register
+	lastRequestAt  map[domain.ServiceName]time.Time          // when a target of the service was last asked for
+	onFailure      func()                                    // called when a target let this box down, and others are to learn of it
+	onEjected      func(domain.InstanceID)                   // called when a target is ejected as several boxes report failures of it
+	onLeaving      func(id domain.InstanceID, source string) // called when a target reports that it is leaving, and nothing did before
+	witness        func(domain.Target) string                // another process that is reached on the way to the target
+	onLimitChanged func(w ratelimit.Report, source string)   // called when a target has another limit than before
+	requestPermit  permitFunc
+}
+
+// permitFunc gets permits for the first of the targets of the service that has any, and reports
 // which; empty if none has.
-type permitting func(ctx context.Context, svc domain.ServiceName, targets []domain.InstanceID) domain.InstanceID
+type permitFunc func(ctx context.Context, svc domain.ServiceName, targets []domain.InstanceID) domain.InstanceID
 
 func newFleet(self domain.BoxID, hall domain.HallName, p membership.RosterPolicy) *fleet {
 	return &fleet{
-		hall:     hall,
-		roster:   membership.NewRoster(self, p),
-		letDown:  func() {},
-		ejected:  func(domain.InstanceID) {},
-		left:     func(domain.InstanceID, string) {},
-		witness:  func(domain.Target) string { return "" },
-		balancer: routing.NewBalancer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		gate:     admission.NewGate(),
-		limits:   ratelimit.NewRegister(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		limited:  func(ratelimit.Report, string) {},
-		permits:  func(context.Context, domain.ServiceName, []domain.InstanceID) domain.InstanceID { return "" },
-		askedAt:  map[domain.ServiceName]time.Time{},
+		hall:           hall,
+		roster:         membership.NewRoster(self, p),
+		onFailure:      func() {},
+		onEjected:      func(domain.InstanceID) {},
+		onLeaving:      func(domain.InstanceID, string) {},
+		witness:        func(domain.Target) string { return "" },
+		balancer:       routing.NewBalancer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		gate:           admission.NewGate(),
+		limits:         ratelimit.NewRegister(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		onLimitChanged: func(ratelimit.Report, string) {},
+		requestPermit:  func(context.Context, domain.ServiceName, []domain.InstanceID) domain.InstanceID { return "" },
+		lastRequestAt:  map[domain.ServiceName]time.Time{},
 	}
 }
 
@@ -82,7 +82,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := map[domain.InstanceID]membership.Standing{}
-	for svc := range f.askedAt {
+	for svc := range f.lastRequestAt {
 		for _, u := range f.roster.Ranked(now, svc) {
 			all[u.Target.ID()] = u.Standing
 		}
@@ -90,23 +90,23 @@
 	return all
 }
 
-// wantedFor is how long after a request a service counts as asked for.
-const wantedFor = 15 * time.Second
+// demandWindow is how long after a request a service counts as asked for.
+const demandWindow = 15 * time.Second
 
-// wanting reports whether a service that is asked for has no target to be used.
-func (f *fleet) wanting(now time.Time) bool {
+// lacksTargets reports whether a service that is asked for has no target to be used.
+func (f *fleet) lacksTargets(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for svc, at := range f.askedAt {
-		if now.Sub(at) < wantedFor && len(f.options(now, svc, nil)) == 0 {
+	for svc, at := range f.lastRequestAt {
+		if now.Sub(at) < demandWindow && len(f.options(now, svc, nil)) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// cutOff reports whether nothing is received from another data hall.
-func (f *fleet) cutOff(now time.Time) bool {
+// otherHallsSilent reports whether nothing is received from another data hall.
+func (f *fleet) otherHallsSilent(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.OtherHallsSilent(now, f.hall)
@@ -129,28 +129,28 @@
 	})
 }
 
-// leaves takes that the target reports that it is leaving, by the source.
-func (f *fleet) leaves(now time.Time, id domain.InstanceID, source string) {
+// leavingReported takes that the target reports that it is leaving, by the source.
+func (f *fleet) leavingReported(now time.Time, id domain.InstanceID, source string) {
 	news := false
 	f.with(func(r *membership.Roster, _ *routing.Balancer) { news = r.LeavingReported(now, id) })
 	if news {
-		f.left(id, source)
+		f.onLeaving(id, source)
 	}
 }
 
-// names takes what a target stated about its limit with the answer to a request for which it was taken
+// recordLimit takes what a target stated about its limit with the answer to a request for which it was taken
 // at the time.
-func (f *fleet) names(now time.Time, id domain.InstanceID, l call.Limit, taken time.Time) {
+func (f *fleet) recordLimit(now time.Time, id domain.InstanceID, l call.Limit, taken time.Time) {
 	f.mu.Lock()
 	news := f.limits.RecordAnswer(now, id, l, taken)
 	f.mu.Unlock()
 	if news {
-		f.limited(ratelimit.Report{Target: id, Limit: l, At: now}, "answer")
+		f.onLimitChanged(ratelimit.Report{Target: id, Limit: l, At: now}, "answer")
 	}
 }
 
-// learn takes reports of limits from another box.
-func (f *fleet) learn(now time.Time, reports []ratelimit.Report, source string) {
+// updateLimits takes reports of limits from another box.
+func (f *fleet) updateLimits(now time.Time, reports []ratelimit.Report, source string) {
 	var news []ratelimit.Report
 	f.mu.Lock()
 	for _, w := range reports {
@@ -160,7 +160,7 @@
 	}
 	f.mu.Unlock()
 	for _, w := range news {
-		f.limited(w, source)
+		f.onLimitChanged(w, source)
 	}
 }
 
@@ -176,8 +176,8 @@
 	f.limits.Forget(now, known)
 }
 
-// reports are the newest reports of the targets' limits, as far as they name any.
-func (f *fleet) reports(targets []domain.InstanceID) []ratelimit.Report {
+// limitReports are the newest limitReports of the targets' limits, as far as they name any.
+func (f *fleet) limitReports(targets []domain.InstanceID) []ratelimit.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []ratelimit.Report
@@ -189,34 +189,34 @@
 	return list
 }
 
-// knowsLimits reports whether there are limits, or were lately.
-func (f *fleet) knowsLimits() bool {
+// hasLimits reports whether there are limits, or were lately.
+func (f *fleet) hasLimits() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.limits.HasLimits()
 }
 
-// limitReports are reports of limits for other boxes.
-func (f *fleet) limitReports(now time.Time, others int) []ratelimit.Report {
+// limitReportsForPeers are reports of limits for other boxes.
+func (f *fleet) limitReportsForPeers(now time.Time, others int) []ratelimit.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.limits.ReportsForPeers(now, others)
 }
 
-// granted takes permits that were asked for at the time, and reports for which target one is used at
+// useGrant takes permits that were asked for at the time, and reports for which target one is used at
 // once; empty if there is none.
-func (f *fleet) granted(asked time.Time, g ratelimit.Grant) domain.InstanceID {
+func (f *fleet) useGrant(asked time.Time, g ratelimit.Grant) domain.InstanceID {
 	if g.Permits > 0 && !ratelimit.PermitExpired(clock.Now(), asked) {
 		g.Permits--
-		f.keep(asked, g)
+		f.storeGrant(asked, g)
 		return g.Target
 	}
-	f.keep(asked, g)
+	f.storeGrant(asked, g)
 	return ""
 }
 
-// keep takes permits that were asked for at the time, for later requests.
-func (f *fleet) keep(asked time.Time, g ratelimit.Grant) {
+// storeGrant takes permits that were asked for at the time, for later requests.
+func (f *fleet) storeGrant(asked time.Time, g ratelimit.Grant) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range g.Turns {
--- a/node/place.go
+++ b/node/lease.go
@@ -11,36 +11,36 @@
 	"clovertrail.dev/routing"
 )
 
-// place is a place at a target. It implements gateway.Lease.
-type place struct {
-	fleet  *fleet
-	target domain.Target
-	option routing.Option
-	ticket *routing.Ticket
-	taken  time.Time
+// lease is a lease at a target. It implements gateway.Lease.
+type lease struct {
+	fleet      *fleet
+	target     domain.Target
+	option     routing.Option
+	ticket     *routing.Ticket
+	acquiredAt time.Time
 	// permitted reports that the target has a limit, and that there is a permit for the attempt.
 	permitted bool
 }
 
 // Target implements gateway.Lease.
-func (p *place) Target() domain.Target { return p.target }
+func (p *lease) Target() domain.Target { return p.target }
 
 // Witness implements gateway.Lease.
-func (p *place) Witness() string { return p.fleet.witness(p.target) }
+func (p *lease) Witness() string { return p.fleet.witness(p.target) }
 
 // MaySend implements gateway.Lease.
-func (p *place) MaySend(now time.Time) bool {
+func (p *lease) MaySend(now time.Time) bool {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	id := p.target.ID()
 	if !p.fleet.roster.AcceptsWork(now, id) {
 		return false
 	}
-	return p.fleet.limits.MaySend(now, id, p.permitted, p.taken)
+	return p.fleet.limits.MaySend(now, id, p.permitted, p.acquiredAt)
 }
 
 // UpdateStatus implements gateway.Lease.
-func (p *place) UpdateStatus(now time.Time, a call.Answer) {
+func (p *lease) UpdateStatus(now time.Time, a call.Answer) {
 	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
 		if l := a.Load; l != nil {
 			b.Report(now, p.target.ID(), routing.Report{Running: l.Running, Waiting: l.Waiting})
@@ -53,52 +53,52 @@
 		}
 	})
 	if a.Leaving {
-		p.fleet.leaves(now, p.target.ID(), "answer")
+		p.fleet.leavingReported(now, p.target.ID(), "answer")
 	}
-	p.fleet.names(now, p.target.ID(), a.Limit, p.taken)
+	p.fleet.recordLimit(now, p.target.ID(), a.Limit, p.acquiredAt)
 }
 
 // ResponseOverdue implements gateway.Lease.
-func (p *place) ResponseOverdue() {
+func (p *lease) ResponseOverdue() {
 	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) { p.reportFailure(clock.Now(), r, b) })
 }
 
 // reportFailure records that it let this box down, unless its whole group
 // stands still, which is no fault of one rank. The fleet is locked.
-func (p *place) reportFailure(now time.Time, r *membership.Roster, b *routing.Balancer) {
+func (p *lease) reportFailure(now time.Time, r *membership.Roster, b *routing.Balancer) {
 	if !b.IsStepping(now, p.option) {
 		return
 	}
 	tell, ejected := r.ReportFailure(now, p.target.ID())
 	if tell {
-		p.fleet.letDown()
+		p.fleet.onFailure()
 	}
 	if ejected {
-		p.fleet.ejected(p.target.ID())
+		p.fleet.onEjected(p.target.ID())
 	}
 }
 
 // ResponseStarted implements gateway.Lease.
-func (p *place) ResponseStarted() {
+func (p *lease) ResponseStarted() {
 	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.Began(clock.Now(), p.ticket) })
 }
 
 // IsStraggler implements gateway.Lease.
-func (p *place) IsStraggler(now time.Time, tried []domain.InstanceID) bool {
+func (p *lease) IsStraggler(now time.Time, tried []domain.InstanceID) bool {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	return p.fleet.balancer.IsStraggler(now, p.option, p.fleet.options(now, p.target.Service(), tried))
 }
 
 // ReportEventGap implements gateway.Lease.
-func (p *place) ReportEventGap(pause, objective time.Duration) {
+func (p *lease) ReportEventGap(pause, objective time.Duration) {
 	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) {
 		b.RecordPause(clock.Now(), p.option, pause, objective)
 	})
 }
 
 // Release implements gateway.Lease.
-func (p *place) Release(v gateway.Verdict) {
+func (p *lease) Release(v gateway.Verdict) {
 	now := clock.Now()
 	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
 		b.Ended(now, p.ticket)
--- a/node/limiting.go
+++ b/node/limiting.go
@@ -21,24 +21,24 @@
 type limiting struct {
 	entry *Entry
 
-	mu        sync.Mutex
-	allocator *ratelimit.Allocator
-	kicked    time.Time // other boxes were last informed of a limit at once
+	mu         sync.Mutex
+	allocator  *ratelimit.Allocator
+	lastNotify time.Time // other boxes were last informed of a limit at once
 }
 
 const (
-	// permitWithin is how long a request waits for an issuer's answer: several usual ones, and a part
+	// permitTimeout is how long a request waits for an issuer's answer: several usual ones, and a part
 	// of the shortest time in which callers want theirs.
-	permitWithin = 50 * time.Millisecond
-	// silentAfter is after how long an issuer that has not answered counts as silent: what it hands
+	permitTimeout = 50 * time.Millisecond
+	// issuerTimeout is after how long an issuer that has not answered counts as silent: what it hands
 	// out has nearly lapsed by then.
-	silentAfter = 400 * time.Millisecond
-	// toldEach is how many limits a box tells with each round besides those that are news, for
+	issuerTimeout = 400 * time.Millisecond
+	// otherLimitsPerRound is how many limits a box tells with each round besides those that are news, for
 	// boxes that started or were cut off meanwhile.
-	toldEach = 2
-	// kickEvery is the least time between two rounds that come at once for news of limits. A target
+	otherLimitsPerRound = 2
+	// minNotifyInterval is the least time between two rounds that come at once for news of limits. A target
 	// may name one with every other answer.
-	kickEvery = 100 * time.Millisecond
+	minNotifyInterval = 100 * time.Millisecond
 )
 
 func newLimiting(e *Entry) *limiting {
@@ -46,14 +46,14 @@
 	return &limiting{entry: e, allocator: ratelimit.NewAllocator(self, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))}
 }
 
-// named logs that a target has another limit than before, and notifies other boxes at once.
-func (l *limiting) named(w ratelimit.Report, source string) {
+// limitChanged logs that a target has another limit than before, and notifies other boxes at once.
+func (l *limiting) limitChanged(w ratelimit.Report, source string) {
 	now := clock.Now()
 	l.entry.common.Log.Info("target limit", "target", w.Target, "limit", w.Limit, "age", now.Sub(w.At), "source", source)
 	l.mu.Lock()
-	kick := now.Sub(l.kicked) >= kickEvery
+	kick := now.Sub(l.lastNotify) >= minNotifyInterval
 	if kick {
-		l.kicked = now
+		l.lastNotify = now
 	}
 	l.mu.Unlock()
 	if kick {
@@ -61,22 +61,22 @@
 	}
 }
 
-// permits implements permitting.
-func (l *limiting) permits(ctx context.Context, svc domain.ServiceName, targets []domain.InstanceID) domain.InstanceID {
+// requestPermit implements permitting.
+func (l *limiting) requestPermit(ctx context.Context, svc domain.ServiceName, targets []domain.InstanceID) domain.InstanceID {
 	now := clock.Now()
-	issuer, way := l.way(now, svc)
-	reports := l.entry.fleet.reports(targets)
+	issuer, way := l.permitSource(now, svc)
+	reports := l.entry.fleet.limitReports(targets)
 	var g ratelimit.Grant
 	source := "issuer"
 	switch w := way.(type) {
 	case ratelimit.Local:
 		g = l.issue(now, svc, reports)
 	case ratelimit.Remote:
-		g = l.ask(ctx, svc, issuer, reports, w.Prefetch)
+		g = l.requestFromIssuer(ctx, svc, issuer, reports, w.Prefetch)
 	case ratelimit.Fallback:
-		g, source = l.own(now, svc, reports), "own part"
+		g, source = l.issueFallback(now, svc, reports), "own part"
 		if w.Probe != "" {
-			l.ask(ctx, svc, issuer, nil, true) // it only finds out whether the issuer answers
+			l.requestFromIssuer(ctx, svc, issuer, nil, true) // it only finds out whether the issuer answers
 		}
 	case ratelimit.Pending: // there is none now
 	}
@@ -84,12 +84,12 @@
 		source = "none"
 	}
 	l.entry.common.Metrics.Count(telemetry.Permits, source, max(g.Permits, 1))
-	return l.entry.fleet.granted(now, g)
+	return l.entry.fleet.useGrant(now, g)
 }
 
-// way is where permits for the service come from, and who is its issuer. Where that is to be asked
+// permitSource is where permits for the service come from, and who is its issuer. Where that is to be asked
 // it counts as asked from now on.
-func (l *limiting) way(now time.Time, svc domain.ServiceName) (membership.Contact, ratelimit.Source) {
+func (l *limiting) permitSource(now time.Time, svc domain.ServiceName) (membership.Contact, ratelimit.Source) {
 	issuer := l.entry.peering.issuer(now, svc)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,15 +105,15 @@
 	return issuer, way
 }
 
-// is reports whether this box is the service's issuer, which is the box.
-func (l *limiting) is(issuer domain.BoxID, svc domain.ServiceName) bool {
+// isIssuer reports whether this box isIssuer the service's issuer, which isIssuer the box.
+func (l *limiting) isIssuer(issuer domain.BoxID, svc domain.ServiceName) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.allocator.IsIssuer(issuer, svc)
 }
 
-// question is one to an issuer, whose answer a request may wait for.
-type question struct {
+// permitRequest is one to an issuer, whose answer a request may wait for.
+type permitRequest struct {
 	svc    domain.ServiceName
 	issuer membership.Contact
 	asked  time.Time
@@ -123,22 +123,22 @@
 	answer chan ratelimit.Grant
 }
 
-// ask asks the issuer. The request waits for the answer for permitWithin at the most, and not at all
+// requestFromIssuer asks the issuer. The request waits for the answer for permitWithin at the most, and not at all
 // where permits are asked for ahead; what comes later is kept for other requests. If the caller
 // leaves meanwhile the answer is waited for all the same: the issuer is not silent for that.
-func (l *limiting) ask(ctx context.Context, svc domain.ServiceName, issuer membership.Contact, reports []ratelimit.Report, ahead bool) ratelimit.Grant {
-	q := &question{svc: svc, issuer: issuer, asked: clock.Now(), waited: ahead, answer: make(chan ratelimit.Grant, 1)}
-	go l.put(context.WithoutCancel(ctx), q, reports)
+func (l *limiting) requestFromIssuer(ctx context.Context, svc domain.ServiceName, issuer membership.Contact, reports []ratelimit.Report, ahead bool) ratelimit.Grant {
+	q := &permitRequest{svc: svc, issuer: issuer, asked: clock.Now(), waited: ahead, answer: make(chan ratelimit.Grant, 1)}
+	go l.send(context.WithoutCancel(ctx), q, reports)
 	if ahead {
 		return ratelimit.Grant{}
 	}
-	late := clock.AfterFunc(q.asked.Add(permitWithin), func() { l.overdue(q) })
+	late := clock.AfterFunc(q.asked.Add(permitTimeout), func() { l.replyOverdue(q) })
 	defer late.Stop()
 	return <-q.answer
 }
 
-// overdue lets the request go on without an answer.
-func (l *limiting) overdue(q *question) {
+// replyOverdue lets the request go on without an answer.
+func (l *limiting) replyOverdue(q *permitRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(q.answer) > 0 {
@@ -149,9 +149,9 @@
 	q.answer <- ratelimit.Grant{}
 }
 
-// put asks the question and hands its answer on.
-func (l *limiting) put(ctx context.Context, q *question, reports []ratelimit.Report) {
-	ctx, cancel := context.WithTimeout(ctx, silentAfter)
+// send asks the question and hands its answer on.
+func (l *limiting) send(ctx context.Context, q *permitRequest, reports []ratelimit.Report) {
+	ctx, cancel := context.WithTimeout(ctx, issuerTimeout)
 	defer cancel()
 	ask := &mesh.PermitQuery{Service: q.svc}
 	for _, w := range reports {
@@ -164,19 +164,19 @@
 		g = r.Grant(now)
 	}
 	l.mu.Lock()
-	l.note(now, q, r, err)
+	l.recordReply(now, q, r, err)
 	later := q.waited
 	if !later {
 		q.answer <- g
 	}
 	l.mu.Unlock()
 	if later {
-		l.entry.fleet.keep(q.asked, g)
+		l.entry.fleet.storeGrant(q.asked, g)
 	}
 }
 
-// note takes what became of a question, and logs what is new about its issuer; mu is held.
-func (l *limiting) note(now time.Time, q *question, r *mesh.PermitReply, err error) {
+// recordReply takes what became of a question, and logs what is new about its issuer; mu is held.
+func (l *limiting) recordReply(now time.Time, q *permitRequest, r *mesh.PermitReply, err error) {
 	log := l.entry.common.Log.With("service", q.svc, "peer", q.issuer.Box, "after", now.Sub(q.asked))
 	switch {
 	case err != nil && l.allocator.RequestFailed(now, q.issuer.Box):
@@ -185,7 +185,7 @@
 	case err == nil && !r.Issuer && l.allocator.RequestDeclined(now, q.issuer.Box):
 		log.Info("box is not the issuer")
 		l.entry.peering.notify()
-	case err == nil && r.Issuer && l.allocator.ReplyReceived(q.svc, q.issuer.Box, now.Sub(q.asked) <= permitWithin):
+	case err == nil && r.Issuer && l.allocator.ReplyReceived(q.svc, q.issuer.Box, now.Sub(q.asked) <= permitTimeout):
 		log.Info("issuer regained")
 	}
 }
@@ -195,19 +195,19 @@
 	heard, sharing := l.entry.peering.part(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.allocator.Issue(now, svc, wants(reports), ratelimit.Share(heard, sharing))
+	return l.allocator.Issue(now, svc, wantsOf(reports), ratelimit.Share(heard, sharing))
 }
 
-// own hands out permits by this box's own part.
-func (l *limiting) own(now time.Time, svc domain.ServiceName, reports []ratelimit.Report) ratelimit.Grant {
+// issueFallback hands out permits by this box's issueFallback part.
+func (l *limiting) issueFallback(now time.Time, svc domain.ServiceName, reports []ratelimit.Report) ratelimit.Grant {
 	_, sharing := l.entry.peering.part(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.allocator.IssueFallback(now, svc, wants(reports), ratelimit.Share(1, sharing))
+	return l.allocator.IssueFallback(now, svc, wantsOf(reports), ratelimit.Share(1, sharing))
 }
 
-// wants are the targets of the reports, with what they get a second.
-func wants(reports []ratelimit.Report) []ratelimit.Want {
+// wantsOf are the targets of the reports, with what they get a second.
+func wantsOf(reports []ratelimit.Report) []ratelimit.Want {
 	var list []ratelimit.Want
 	for _, w := range reports {
 		list = append(list, ratelimit.Want{Target: w.Target, Rate: ratelimit.Rate(w.Limit)})
@@ -218,39 +218,39 @@
 // permit implements mesh.Permit.
 func (l *limiting) permit(_ context.Context, q *mesh.PermitQuery) (*mesh.PermitReply, error) {
 	now := clock.Now()
-	if issuer := l.entry.peering.issuer(now, q.Service); !l.is(issuer.Box, q.Service) {
+	if issuer := l.entry.peering.issuer(now, q.Service); !l.isIssuer(issuer.Box, q.Service) {
 		return &mesh.PermitReply{}, nil
 	}
 	var asked []domain.InstanceID
-	for _, w := range l.receive(now, q.Wants, "asker") {
+	for _, w := range l.receiveReports(now, q.Wants, "asker") {
 		asked = append(asked, w.Target)
 	}
-	return mesh.ReplyOf(now, l.issue(now, q.Service, l.entry.fleet.reports(asked))), nil
+	return mesh.ReplyOf(now, l.issue(now, q.Service, l.entry.fleet.limitReports(asked))), nil
 }
 
-// receive takes what another box reports about limits, and returns it.
-func (l *limiting) receive(now time.Time, list []mesh.LimitReport, source string) []ratelimit.Report {
+// receiveReports takes what another box reports about limits, and returns it.
+func (l *limiting) receiveReports(now time.Time, list []mesh.LimitReport, source string) []ratelimit.Report {
 	var reports []ratelimit.Report
 	for _, m := range list {
 		if w, ok := m.Report(now); ok {
 			reports = append(reports, w)
 		}
 	}
-	l.entry.fleet.learn(now, reports, source)
+	l.entry.fleet.updateLimits(now, reports, source)
 	return reports
 }
 
-// reports is what other boxes are sent about limits: news, and so many others.
-func (l *limiting) reports(now time.Time, others int) []mesh.LimitReport {
+// reportsForPeers is what other boxes are sent about limits: news, and so many others.
+func (l *limiting) reportsForPeers(now time.Time, others int) []mesh.LimitReport {
 	var list []mesh.LimitReport
-	for _, w := range l.entry.fleet.limitReports(now, others) {
+	for _, w := range l.entry.fleet.limitReportsForPeers(now, others) {
 		list = append(list, mesh.LimitReportOf(now, w))
 	}
 	return list
 }
 
-// apart reports whether this box goes by its own part of limits.
-func (l *limiting) apart(now time.Time) bool {
+// usesFallback reports whether this box goes by its own part of limits.
+func (l *limiting) usesFallback(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.allocator.UsesFallback(now)
--- a/node/main.go
+++ b/node/main.go
@@ -28,25 +28,25 @@
 	Run(leave <-chan struct{}) error
 }
 
-// roles has one row for each process.
-var roles = map[string]func(path string) (*loaded, error){
+// loaders has one row for each process.
+var loaders = map[string]func(path string) (*loadedProcess, error){
 	"entry": loadEntry,
 	"agent": loadAgent,
 }
 
-// loaded is a process ready to run.
-type loaded struct {
-	process runner
-	common  telemetry.Common
-	lines   *telemetry.Lines
-	watch   func(signal <-chan struct{}) // for changes of the settings file
-	woken   func()                       // called after a suspension of the machine
+// loadedProcess is a process ready to run.
+type loadedProcess struct {
+	process       runner
+	common        telemetry.Common
+	logLines      *telemetry.Lines
+	watchSettings func(signal <-chan struct{}) // for changes of the settings file
+	onResume      func()                       // called after a suspension of the machine
 }
 
 // Main runs the role with the settings file until the platform stops it.
 func Main(role, file string) error {
 	debug.SetGCPercent(gcPercent)
-	load, ok := roles[role]
+	load, ok := loaders[role]
 	if !ok {
 		return fmt.Errorf("unknown role %q", role)
 	}
@@ -57,11 +57,11 @@
 	stopped := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
-		p.lines.Run(stopped)
+		p.logLines.Run(stopped)
 		close(done)
 	}()
-	leave, changed := onSignal(p.common)
-	go p.watch(changed)
+	leave, changed := handleSignals(p.common)
+	go p.watchSettings(changed)
 	go clock.NewWatch(clock.Machine).Run(context.Background(), p.suspended)
 	err = p.process.Run(leave)
 	close(stopped)
@@ -69,9 +69,9 @@
 	return err
 }
 
-// onSignal gives a channel that is closed when the platform stops the process, and one
+// handleSignals gives a channel that is closed when the platform stops the process, and one
 // on which it reports that the settings file has changed.
-func onSignal(c telemetry.Common) (leave, changed chan struct{}) {
+func handleSignals(c telemetry.Common) (leave, changed chan struct{}) {
 	leave, changed = make(chan struct{}), make(chan struct{}, 1)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -91,34 +91,34 @@
 	return leave, changed
 }
 
-func loadEntry(path string) (*loaded, error) {
+func loadEntry(path string) (*loadedProcess, error) {
 	f, err := settings.Open(path, process.DefaultEntrySettings)
 	if err != nil {
 		return nil, err
 	}
-	p := newLoaded(f.Current().Box)
+	p := newLoadedProcess(f.Current().Box)
 	e := NewEntry(p.common, process.MachineNetwork(), f.Current)
-	p.woken = e.Woken
-	p.process, p.watch = e, func(signal <-chan struct{}) { f.Watch(p.common.Log, signal, e.Took) }
+	p.onResume = e.Woken
+	p.process, p.watchSettings = e, func(signal <-chan struct{}) { f.Watch(p.common.Log, signal, e.Took) }
 	return p, nil
 }
 
-func loadAgent(path string) (*loaded, error) {
+func loadAgent(path string) (*loadedProcess, error) {
 	f, err := settings.Open(path, process.DefaultAgentSettings)
 	if err != nil {
 		return nil, err
 	}
-	p := newLoaded(f.Current().Box)
+	p := newLoadedProcess(f.Current().Box)
 	p.process = rank.NewAgent(p.common, process.MachineNetwork(), f.Current)
-	p.watch = func(signal <-chan struct{}) { f.Watch(p.common.Log, signal, func(process.AgentSettings) {}) } // read where they are used
+	p.watchSettings = func(signal <-chan struct{}) { f.Watch(p.common.Log, signal, func(process.AgentSettings) {}) } // read where they are used
 	return p, nil
 }
 
-// newLoaded logs to standard output.
-func newLoaded(box string) *loaded {
+// newLoadedProcess logs to standard output.
+func newLoadedProcess(box string) *loadedProcess {
 	m := telemetry.NewMetrics()
 	lines := telemetry.NewLines(os.Stdout, m, telemetry.LineBytesPerSecond)
 	c := telemetry.New(lines, box)
 	c.Metrics = m
-	return &loaded{common: c, lines: lines, woken: func() {}}
+	return &loadedProcess{common: c, logLines: lines, onResume: func() {}}
 }
--- a/node/peering.go
+++ b/node/peering.go
@@ -252,7 +252,7 @@
 // catchUp asks a box that knows more.
 func (p *peering) catchUp(ctx context.Context) {
 	now := clock.Now()
-	own := p.level()
+	own := p.storeProgress()
 	p.mu.Lock()
 	p.noteBehind(now, own)
 	c, ok := p.boxes.ChoosePullPeer(now, own, p.behind)
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -40,11 +40,11 @@
 func (e *Entry) noteStandings(now time.Time) {
 	standings := e.fleet.standings(now)
 	for id, s := range standings {
-		if before := e.standings[id]; before != s {
+		if before := e.loggedStandings[id]; before != s {
 			e.common.Log.Info("target standing", "target", id, "standing", s, "before", before)
 		}
 	}
-	e.standings = standings
+	e.loggedStandings = standings
 }
 
 // noteEjected logs that a target is out of use as several boxes report failures of it.
@@ -63,7 +63,7 @@
 func (e *Entry) judge(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := clock.Now()
-		stranded := (e.peering.isolated(now) || e.fleet.cutOff(now)) && e.fleet.wanting(now)
+		stranded := (e.peering.isolated(now) || e.fleet.otherHallsSilent(now)) && e.fleet.lacksTargets(now)
 		if before := e.ready.stranded.Swap(stranded); before != stranded {
 			e.common.Log.Warn("cut off without targets", "stranded", stranded, "before", before)
 		}
--- a/node/watching.go
+++ b/node/watching.go
@@ -149,7 +149,7 @@
 	w.surveying.sightings.Saw(clock.Now(), id, report)
 	w.take(id, report)
 	if report.Leaving {
-		w.entry.fleet.leaves(clock.Now(), id, "agent")
+		w.entry.fleet.leavingReported(clock.Now(), id, "agent")
 	}
 	u.Acknowledged(report.Knows)
 	if !u.Due(clock.Now(), epoch) {
