--- a/node/entry.go
+++ b/node/entry.go
@@ -19,17 +19,14 @@
 	"clovertrail.dev/transport"
 )
 
-// The times of connections to targets and the store.
-const (
-	// sweepInterval is the time between two looks for connections that are too old.
-	sweepInterval = time.Second
-)
+// sweepInterval is the time between two passes that close idle connections which are too old.
+const sweepInterval = time.Second
 
 // Entry is the process of an entry box.
 type Entry struct {
 	common    telemetry.Common
 	network   process.Network
-	settings  func() process.EntrySettings // as they are now
+	settings  func() process.EntrySettings // returns the current settings
 	fleet     *fleet
 	view      *view
 	budgets   *budgets
@@ -37,7 +34,7 @@
 	gateway   *gateway.Gateway
 	ready     *readiness
 	mesh      *mesh.Client
-	engines   *http.Client // for orders that are handed on
+	engines   *http.Client // for orders that are forwarded to engines
 	peering   *peering
 	surveying *surveying
 
@@ -45,14 +42,14 @@
 	timeline   *timeline
 	limiting   *limiting
 
-	loggedStandings map[domain.InstanceID]membership.Standing // as they were last logged; judge's own
+	loggedStandings map[domain.InstanceID]membership.Standing // as last logged; used by the goroutine of judge only
 }
 
-// NewEntry returns the process. now gives its settings as they are now; those that
-// change while it runs are put in force by Took.
-func NewEntry(c telemetry.Common, n process.Network, now func() process.EntrySettings) *Entry {
-	s := now()
-	e := &Entry{common: c, network: n, settings: now, budgets: newBudgets(s.Bounds), ready: &readiness{}}
+// NewEntry returns the process of an entry box. settings returns the current settings; Took applies
+// settings that change while the process runs.
+func NewEntry(c telemetry.Common, n process.Network, settings func() process.EntrySettings) *Entry {
+	s := settings()
+	e := &Entry{common: c, network: n, settings: settings, budgets: newBudgets(s.Bounds), ready: &readiness{}}
 	e.fleet = newFleet(domain.BoxID(s.Box), domain.HallName(s.Hall), rosterPolicy(s))
 	e.pool = transport.NewPool(n.Dial, transport.DefaultSettings())
 	e.mesh = mesh.NewClient(n.Dial)
@@ -76,8 +73,8 @@
 	return e
 }
 
-// witness is the address of another process that is reached on the way to the target: the
-// agent on its box, or another entry box of its hall; empty if there is none.
+// witness returns the address of another process on the network path to the target: the agent on its
+// box, or another entry box of its hall; empty if there is none.
 func (e *Entry) witness(t domain.Target) string {
 	if _, ranked := t.Rank(); ranked && e.settings().AgentPort > 0 {
 		return agentOf(t, e.settings().AgentPort)
@@ -88,28 +85,28 @@
 	return ""
 }
 
-// applyConfiguration puts a configuration in force.
+// applyConfiguration puts the configuration in force.
 func (e *Entry) applyConfiguration(c *catalog.Catalog) {
 	e.gateway.Configure(c)
 	e.ready.configured.Store(true)
 }
 
-// command hands an order on for the coordinator of a group.
+// command forwards an order to one engine for the coordinator of a group.
 func (e *Entry) command(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
 	return rank.HandOn(ctx, e.common, e.engines, c)
 }
 
-// deal hands an order on to many engines.
+// deal forwards an order to many engines for the coordinator of a group.
 func (e *Entry) deal(ctx context.Context, c *mesh.DealCall) (*mesh.DealReply, error) {
 	return rank.DealOut(ctx, e.common, e.engines, c)
 }
 
-// Run serves until leave is closed, then finishes what is in flight and returns.
-func (e *Entry) Run(leave <-chan struct{}) error {
+// Run serves until stop is closed, then completes the requests in flight and returns.
+func (e *Entry) Run(stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	failed := make(chan error, 1)
-	door, err := e.serveCallers(failed)
+	callers, err := e.startServers(failed)
 	if err != nil {
 		return err
 	}
@@ -118,25 +115,26 @@
 	}
 	go e.peering.run(ctx)
 	e.common.Log.Info("started", "hall", e.settings().Hall, "callers", e.settings().Callers, "peers", e.settings().Peers, "store", e.settings().Store)
-	kept := completing{
+	records := completing{
 		RecordStore: platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.stated),
 		timeline:    e.timeline,
 	}
-	e.followStore(ctx, kept)
-	go e.quarantine.run(ctx, kept, e.settings().FirstStart)
+	e.followStore(ctx, records)
+	go e.quarantine.run(ctx, records, e.settings().FirstStart)
 	go e.sweepConnections(ctx)
 	go e.judge(ctx)
 	if e.settings().AgentPort > 0 {
 		go newWatching(e).run(ctx)
 	}
 	select {
-	case <-leave:
+	case <-stop:
 	case err := <-failed:
 		return err
 	}
-	return e.stop(door)
+	return e.stop(callers)
 }
 
+// followStore starts to follow the configuration and the targets in the store.
 func (e *Entry) followStore(ctx context.Context, feed store.Feed) {
 	configuration, targets := e.followConfiguration(feed), e.followTargets(feed)
 	e.surveying.follows(func() bool { return configuration.well.Load() && targets.well.Load() })
@@ -144,6 +142,7 @@
 	go targets.run(ctx)
 }
 
+// sweepConnections closes idle connections to targets that are too old, until ctx ends.
 func (e *Entry) sweepConnections(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.SleepUntil(ctx, clock.Now().Add(sweepInterval))
@@ -151,19 +150,20 @@
 	}
 }
 
-// serveCallers opens what callers and the platform ask. The door takes callers.
-func (e *Entry) serveCallers(failed chan<- error) (*gateway.Listener, error) {
+// startServers starts the servers for callers, for the platform's readiness checks and for metrics. It
+// returns the listener for callers; errors of the servers are sent to failed.
+func (e *Entry) startServers(failed chan<- error) (*gateway.Listener, error) {
 	s := process.NewServers(e.network, failed)
 	limits := catalog.DefaultLimits()
-	door := gateway.NewListener(&http.Server{
+	callers := gateway.NewListener(&http.Server{
 		Handler: e.gateway, MaxHeaderBytes: limits.HeaderBytes,
 		ReadHeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout,
 	})
-	if err := s.Serve(door, e.settings().Callers); err != nil {
+	if err := s.Serve(callers, e.settings().Callers); err != nil {
 		return nil, err
 	}
 	if err := s.Serve(&http.Server{Handler: e.ready, ReadHeaderTimeout: limits.HeaderTimeout}, e.settings().Ready); err != nil {
 		return nil, err
 	}
-	return door, s.ServeMetrics(e.common, e.settings().Metrics)
+	return callers, s.ServeMetrics(e.common, e.settings().Metrics)
 }
--- a/node/entry_test.go
+++ b/node/entry_test.go
@@ -21,70 +21,72 @@
 const (
 	service = "app"
 	key     = "key-1"
-	// patience bounds the waits for what must come about; nothing is read from how long
-	// it took.
-	patience = 30 * time.Second
+	// waitTimeout bounds the wait for a condition that must come true. No test depends on how long
+	// the wait took.
+	waitTimeout = 30 * time.Second
 )
 
-// rig is a store, targets, and entry boxes of this process on the loopback interface.
+// rig runs a store, targets and entry boxes in this process, on the loopback interface.
 type rig struct {
-	t       *testing.T
-	store   *standin.Store
-	address string // of the store
-	client  *http.Client
+	t            *testing.T
+	store        *standin.Store
+	storeAddress string
+	client       *http.Client
 
-	mu  sync.Mutex
-	ran []standin.Run
-	ids int
+	mu       sync.Mutex
+	runs     []standin.Run // requests that ran at the targets
+	requests int           // number of requests sent to boxes
 }
 
 func newRig(t *testing.T) *rig {
 	r := &rig{t: t, store: standin.NewStore(), client: &http.Client{Transport: &http.Transport{}}}
-	r.address = r.serve(r.store)
+	r.storeAddress = r.serve(r.store)
 	t.Cleanup(r.client.CloseIdleConnections)
 	return r
 }
 
-// serve serves the handler until the test ends.
+// serve serves the handler until the test ends, and returns its address.
 func (r *rig) serve(h http.Handler) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	s := &http.Server{Handler: h, ReadHeaderTimeout: patience}
-	go func() { _ = s.Serve(l) }() // it ends with the test
+	s := &http.Server{Handler: h, ReadHeaderTimeout: waitTimeout}
+	go func() { _ = s.Serve(l) }() // returns an error once the server is closed
 	r.t.Cleanup(func() { _ = s.Close() })
 	return l.Addr().String()
 }
 
-// target starts one and lists it.
+// target starts a target, lists it in the store, and returns it with its address.
 func (r *rig) target(id string) (*standin.Target, string) {
 	x := standin.NewTarget(id, service, func(run standin.Run) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.ran = append(r.ran, run)
+		r.runs = append(r.runs, run)
 	})
 	address := r.serve(x)
 	r.put("servers", id, x.Object(address, "hall-1", "ready"))
 	return x, address
 }
 
+// configure puts the version of the configuration into the store.
 func (r *rig) configure(version int) {
 	r.put("config", "main", standin.Configuration(version, service, map[string]string{"org": key}))
 }
 
+// put writes an object into the store.
 func (r *rig) put(kind, name string, spec any) {
 	if _, err := r.store.Put(kind, name, spec); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// runsAt are the requests that ran at the target.
+// runsAt returns the number of requests that ran at the target.
 func (r *rig) runsAt(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
-	for _, run := range r.ran {
+	for _, run := range r.runs {
 		if run.Target == id {
 			n++
 		}
@@ -92,42 +94,42 @@
 	return n
 }
 
-// box is an entry box that runs.
+// box is a running entry box.
 type box struct {
 	rig      *rig
 	settings process.EntrySettings
-	leave    chan struct{}
+	stopping chan struct{} // closed to begin the planned stop
 	once     sync.Once
-	ended    chan error
+	ended    chan error // receives the result of Run
 }
 
-// box starts an entry box whose settings are changed so.
+// box starts an entry box with the default settings as changed by change.
 func (r *rig) box(name string, change func(*process.EntrySettings)) *box {
 	s := process.DefaultEntrySettings()
-	s.Box, s.Hall, s.Store = name, "hall-1", r.address
-	s.Callers, s.Ready, s.Peers = r.free(), r.free(), r.free()
+	s.Box, s.Hall, s.Store = name, "hall-1", r.storeAddress
+	s.Callers, s.Ready, s.Peers = r.freeAddress(), r.freeAddress(), r.freeAddress()
 	s.Bounds.Stop = settings.Duration(4 * time.Second)
 	if change != nil {
 		change(&s)
 	}
-	b := &box{rig: r, settings: s, leave: make(chan struct{}), ended: make(chan error, 1)}
+	b := &box{rig: r, settings: s, stopping: make(chan struct{}), ended: make(chan error, 1)}
 	e := node.NewEntry(telemetry.Quiet(), process.MachineNetwork(), func() process.EntrySettings { return s })
-	go func() { b.ended <- e.Run(b.leave) }()
+	go func() { b.ended <- e.Run(b.stopping) }()
 	r.t.Cleanup(func() {
 		b.stop()
 		if err := <-b.ended; err != nil {
-			r.t.Errorf("%s ended with %v", name, err)
+			r.t.Errorf("entry box %s ended with error: %v", name, err)
 		}
 	})
 	return b
 }
 
-// taken are the addresses that were given to boxes.
-var taken sync.Map
+// usedAddresses holds the addresses that freeAddress has returned.
+var usedAddresses sync.Map
 
-// free is an address that nobody listens at. It is of a loopback address of the
-// process's own and given once, so that nobody takes it in the meantime.
-func (r *rig) free() string {
+// freeAddress returns an address with a port on which nothing listens. It is on a loopback
+// IP address of this process's own, and is returned once, so that nothing else uses it before the box.
+func (r *rig) freeAddress() string {
 	const octet = 250
 	pid := os.Getpid()
 	own := fmt.Sprintf("127.%d.%d.1:0", 1+pid/octet%octet, 1+pid%octet)
@@ -137,162 +139,168 @@
 			r.t.Fatal(err)
 		}
 		address := l.Addr().String()
-		_ = l.Close() // only its port was wanted
-		if _, given := taken.LoadOrStore(address, true); !given {
+		_ = l.Close() // only the port number is needed
+		if _, used := usedAddresses.LoadOrStore(address, true); !used {
 			return address
 		}
 	}
 }
 
-func (b *box) stop() { b.once.Do(func() { close(b.leave) }) }
+// stop begins the planned stop of the box.
+func (b *box) stop() { b.once.Do(func() { close(b.stopping) }) }
 
-// ask asks the box on the path.
-func (b *box) ask(path, key string) standin.Reply {
+// request sends a request for the path to the box.
+func (b *box) request(path, key string) standin.Reply {
 	b.rig.mu.Lock()
-	b.rig.ids++
-	id := "q-" + strconv.Itoa(b.rig.ids)
+	b.rig.requests++
+	id := "q-" + strconv.Itoa(b.rig.requests)
 	b.rig.mu.Unlock()
 	return standin.Ask(context.Background(), b.rig.client, "http://"+b.settings.Callers, standin.Request{
-		ID: id, Path: path, Key: key, Body: "body", Within: patience,
+		ID: id, Path: path, Key: key, Body: "body", Within: waitTimeout,
 	})
 }
 
-// ready reports whether the box reports that it takes callers.
+// ready returns the result of the box's readiness check.
 func (b *box) ready() bool {
 	resp, err := b.rig.client.Get("http://" + b.settings.Ready + "/")
 	if err != nil {
 		return false
 	}
-	_ = resp.Body.Close() // the status says all
+	_ = resp.Body.Close() // only the status is needed
 	return resp.StatusCode == http.StatusOK
 }
 
-// until waits for what must come about.
-func (r *rig) until(what string, holds func() bool) {
+// waitUntil fails the test if the condition does not come true within waitTimeout.
+func (r *rig) waitUntil(condition string, holds func() bool) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("it never came about that %s", what)
+			r.t.Fatalf("timed out waiting until %s", condition)
 		}
 	}
 }
 
-func (r *rig) serving(b *box) {
+// waitUntilServing waits until the box is ready and serves requests.
+func (r *rig) waitUntilServing(b *box) {
 	r.t.Helper()
-	r.until("the box serves", func() bool { return b.ready() && b.ask("/again/x", key).Right })
+	r.waitUntil("the box serves", func() bool { return b.ready() && b.request("/again/x", key).Right })
 }
 
-func TestAnEntryBoxServesItsCallers(t *testing.T) {
+func TestEntryServesCallers(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.target("i-1")
 	r.target("i-2")
 	r.configure(1)
 	b := r.box("box-1", nil)
-	r.serving(b)
+	r.waitUntilServing(b)
 	tests := []struct {
 		name, path, key string
 		status          int
 	}{
-		{"a plain request", "/again/x", key, http.StatusOK},
-		{"one that may run only once", "/once/x", key, http.StatusOK},
-		{"a stream", "/stream/x", key, http.StatusOK},
-		{"a route of the configuration in force", standin.VersionPath(1), key, http.StatusOK},
-		{"no route", "/nowhere/x", key, http.StatusNotFound},
-		{"nobody's key", "/again/x", "other", http.StatusUnauthorized},
+		{"repeatable request", "/again/x", key, http.StatusOK},
+		{"request that may run only once", "/once/x", key, http.StatusOK},
+		{"stream", "/stream/x", key, http.StatusOK},
+		{"route of the configuration in force", standin.VersionPath(1), key, http.StatusOK},
+		{"unknown route", "/nowhere/x", key, http.StatusNotFound},
+		{"unknown key", "/again/x", "other", http.StatusUnauthorized},
 	}
 	for _, tc := range tests {
-		got := b.ask(tc.path, tc.key)
+		got := b.request(tc.path, tc.key)
 		if got.Status != tc.status || got.Right != (tc.status == http.StatusOK) {
-			t.Errorf("%s: answered %d, right: %v %s %v", tc.name, got.Status, got.Right, got.Wrong, got.Err)
+			t.Errorf("%s: status %d, want %d; right: %v, wrong: %s, error: %v", tc.name, got.Status, tc.status, got.Right, got.Wrong, got.Err)
 		}
 	}
 }
 
-func TestABoxIsReadyOnceItHasAConfiguration(t *testing.T) {
+// TestEntryNotReadyWithoutConfiguration: while the store is busy, a box has no configuration and
+// refuses requests with a time to retry.
+func TestEntryNotReadyWithoutConfiguration(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.target("i-1")
 	r.configure(1)
 	r.store.SetTrouble(standin.Busy, 0)
 	b := r.box("box-1", nil)
-	r.until("the box answers", func() bool { return b.ask("/again/x", key).Status != 0 })
-	if got := b.ask("/again/x", key); b.ready() || got.Status != http.StatusServiceUnavailable || got.Again <= 0 {
-		t.Errorf("without a configuration: ready %v, answered %d, to come again after %v", b.ready(), got.Status, got.Again)
+	r.waitUntil("the box answers", func() bool { return b.request("/again/x", key).Status != 0 })
+	if got := b.request("/again/x", key); b.ready() || got.Status != http.StatusServiceUnavailable || got.Again <= 0 {
+		t.Errorf("without a configuration: ready %v, status %d, retry after %v", b.ready(), got.Status, got.Again)
 	}
 	r.store.SetTrouble(standin.Sound, 0)
-	r.serving(b)
+	r.waitUntilServing(b)
 }
 
-func TestABoxThatTheStoreTurnsAwayLearnsFromAnother(t *testing.T) {
+func TestEntrySyncsFromPeerWhileStoreRejectsIt(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.target("i-1")
 	r.configure(1)
-	first := r.box("box-1", func(s *process.EntrySettings) { s.Meeting = r.free() })
-	r.serving(first)
-	away := standin.NewStore()
-	away.SetTrouble(standin.Busy, 0)
+	first := r.box("box-1", func(s *process.EntrySettings) { s.Meeting = r.freeAddress() })
+	r.waitUntilServing(first)
+	busy := standin.NewStore()
+	busy.SetTrouble(standin.Busy, 0)
 	second := r.box("box-2", func(s *process.EntrySettings) {
-		s.Store = r.serve(away)
-		s.Meeting = r.free()
+		s.Store = r.serve(busy)
+		s.Meeting = r.freeAddress()
 		s.Seeds = []string{first.settings.Meeting}
 	})
-	r.serving(second)
+	r.waitUntilServing(second)
 	r.configure(2)
-	r.until("the second box has the next configuration", func() bool {
-		return second.ask(standin.VersionPath(2), key).Right
+	r.waitUntil("the second box has the next configuration", func() bool {
+		return second.request(standin.VersionPath(2), key).Right
 	})
 }
 
-func TestALeavingTargetGetsNothing(t *testing.T) {
+func TestDrainingTargetReceivesNoRequests(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	stays, leaves := "i-1", "i-2"
-	r.target(stays)
-	x, address := r.target(leaves)
+	ready, draining := "i-1", "i-2"
+	r.target(ready)
+	x, address := r.target(draining)
 	r.configure(1)
 	b := r.box("box-1", nil)
-	r.until("both targets are used", func() bool {
-		b.ask("/again/x", key)
-		return r.runsAt(stays) > 0 && r.runsAt(leaves) > 0
+	r.waitUntil("both targets are used", func() bool {
+		b.request("/again/x", key)
+		return r.runsAt(ready) > 0 && r.runsAt(draining) > 0
 	})
-	r.put("servers", leaves, x.Object(address, "hall-1", "draining"))
+	r.put("servers", draining, x.Object(address, "hall-1", "draining"))
 	r.configure(2)
-	r.until("the box has what came after", func() bool { return b.ask(standin.VersionPath(2), key).Right })
-	quiet := 0
-	r.until("the target is left alone", func() bool { // the two lists are watched apart
-		before := r.runsAt(leaves)
-		b.ask("/again/x", key)
-		if quiet++; r.runsAt(leaves) > before {
-			quiet = 0
+	r.waitUntil("the box has the next configuration", func() bool { return b.request(standin.VersionPath(2), key).Right })
+	// The configuration and the targets are watched separately, so the next configuration does not
+	// show that the box has the target's state.
+	unused := 0 // requests in a row that did not reach the draining target
+	r.waitUntil("the draining target receives no requests", func() bool {
+		before := r.runsAt(draining)
+		b.request("/again/x", key)
+		if unused++; r.runsAt(draining) > before {
+			unused = 0
 		}
-		return quiet > 40
+		return unused > 40
 	})
-	if r.runsAt(stays) == 0 {
-		t.Error("the other target got nothing")
+	if r.runsAt(ready) == 0 {
+		t.Error("the ready target received no requests")
 	}
 }
 
-func TestAPlannedStopEndsWhatIsUnderWay(t *testing.T) {
+func TestPlannedStopCompletesStreams(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	x, _ := r.target("i-1")
 	r.configure(1)
 	b := r.box("box-1", nil)
-	r.serving(b)
+	r.waitUntilServing(b)
 	x.Behave(func(h *standin.Habits) { h.Events, h.Gap = 40, 25*time.Millisecond })
 	before := r.runsAt("i-1")
 	replies := make(chan standin.Reply, 4)
 	for range cap(replies) {
-		go func() { replies <- b.ask("/stream/x", key) }()
+		go func() { replies <- b.request("/stream/x", key) }()
 	}
-	r.until("the streams have begun", func() bool { return r.runsAt("i-1") == before+cap(replies) })
+	r.waitUntil("all streams have started", func() bool { return r.runsAt("i-1") == before+cap(replies) })
 	b.stop()
-	r.until("the box says that it leaves", func() bool { return !b.ready() })
+	r.waitUntil("the box reports that it is not ready", func() bool { return !b.ready() })
 	for range cap(replies) {
 		if got := <-replies; !got.Right {
-			t.Errorf("a stream ended with %d, %s, %v", got.Status, got.Wrong, got.Err)
+			t.Errorf("stream ended with status %d, wrong: %s, error: %v", got.Status, got.Wrong, got.Err)
 		}
 	}
 }
--- a/node/main.go
+++ b/node/main.go
@@ -15,80 +15,80 @@
 	"clovertrail.dev/telemetry"
 )
 
-// SettingsVariable names the settings file to the process.
+// SettingsVariable is the environment variable that holds the path of the settings file.
 const SettingsVariable = "CLOVERTRAIL_BOOT"
 
-// gcPercent is how much of what lives a process may allocate before it collects: boxes'
-// memory is dear and they allocate little, so they collect twice as often as usual.
+// gcPercent is the garbage collection target percentage (GOGC). Memory of the boxes is scarce and
+// the processes allocate little, so they collect about twice as often as with the default of 100.
 const gcPercent = 40
 
-// runner is one of the two processes.
+// runner is an entry or an agent.
 type runner interface {
-	// Run serves until leave is closed.
-	Run(leave <-chan struct{}) error
+	// Run serves until stop is closed.
+	Run(stop <-chan struct{}) error
 }
 
-// loaders has one row for each process.
+// loaders has the function by role that loads the settings file and builds the process.
 var loaders = map[string]func(path string) (*loadedProcess, error){
 	"entry": loadEntry,
 	"agent": loadAgent,
 }
 
-// loadedProcess is a process ready to run.
+// loadedProcess is a process that is ready to run.
 type loadedProcess struct {
 	process       runner
 	common        telemetry.Common
 	logLines      *telemetry.Lines
-	watchSettings func(signal <-chan struct{}) // for changes of the settings file
-	onResume      func()                       // called after a suspension of the machine
+	watchSettings func(changed <-chan struct{}) // reloads the settings file when it changes
+	onResume      func()                        // called after a suspension of the machine
 }
 
-// Main runs the role with the settings file until the platform stops it.
+// Main runs the process of the role with the settings file until the platform stops it.
 func Main(role, file string) error {
 	debug.SetGCPercent(gcPercent)
 	load, ok := loaders[role]
 	if !ok {
-		return fmt.Errorf("unknown role %q", role)
+		return fmt.Errorf("unknown role %q, want entry or agent", role)
 	}
 	p, err := load(file)
 	if err != nil {
 		return err
 	}
-	stopped := make(chan struct{})
-	done := make(chan struct{})
+	ended := make(chan struct{})
+	logged := make(chan struct{})
 	go func() {
-		p.logLines.Run(stopped)
-		close(done)
+		p.logLines.Run(ended)
+		close(logged)
 	}()
-	leave, changed := handleSignals(p.common)
+	stop, changed := handleSignals(p.common)
 	go p.watchSettings(changed)
 	go clock.NewWatch(clock.Machine).Run(context.Background(), p.suspended)
-	err = p.process.Run(leave)
-	close(stopped)
-	<-done
+	err = p.process.Run(stop)
+	close(ended)
+	<-logged
 	return err
 }
 
-// handleSignals gives a channel that is closed when the platform stops the process, and one
-// on which it reports that the settings file has changed.
-func handleSignals(c telemetry.Common) (leave, changed chan struct{}) {
-	leave, changed = make(chan struct{}), make(chan struct{}, 1)
+// handleSignals returns a channel that is closed on a signal to stop the process, and a channel
+// that receives a value on a signal to read the settings file again.
+func handleSignals(c telemetry.Common) (stop, changed chan struct{}) {
+	stop, changed = make(chan struct{}), make(chan struct{}, 1)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	go func() {
 		for s := range signals {
 			c.Log.Info("signal", "signal", s)
 			if s != syscall.SIGHUP {
-				close(leave)
+				close(stop)
 				return
 			}
 			select {
 			case changed <- struct{}{}:
-			default: // the file will be read again already
+			default: // a reload is already pending
 			}
 		}
 	}()
-	return leave, changed
+	return stop, changed
 }
 
 func loadEntry(path string) (*loadedProcess, error) {
@@ -99,7 +99,7 @@
 	p := newLoadedProcess(f.Current().Box)
 	e := NewEntry(p.common, process.MachineNetwork(), f.Current)
 	p.onResume = e.Woken
-	p.process, p.watchSettings = e, func(signal <-chan struct{}) { f.Watch(p.common.Log, signal, e.Took) }
+	p.process, p.watchSettings = e, func(changed <-chan struct{}) { f.Watch(p.common.Log, changed, e.Took) }
 	return p, nil
 }
 
@@ -110,11 +110,13 @@
 	}
 	p := newLoadedProcess(f.Current().Box)
 	p.process = rank.NewAgent(p.common, process.MachineNetwork(), f.Current)
-	p.watchSettings = func(signal <-chan struct{}) { f.Watch(p.common.Log, signal, func(process.AgentSettings) {}) } // read where they are used
+	p.watchSettings = func(changed <-chan struct{}) {
+		f.Watch(p.common.Log, changed, func(process.AgentSettings) {}) // the agent reads the current settings at each use
+	}
 	return p, nil
 }
 
-// newLoadedProcess logs to standard output.
+// newLoadedProcess returns a process without a runner that logs to standard output.
 func newLoadedProcess(box string) *loadedProcess {
 	m := telemetry.NewMetrics()
 	lines := telemetry.NewLines(os.Stdout, m, telemetry.LineBytesPerSecond)
