--- a/node/choosing.go
+++ b/node/choosing.go
@@ -14,44 +14,45 @@
 	"clovertrail.dev/routing"
 )
 
-// How a target is chosen for an attempt, or the request refused.
+// This file has the choice of a target for an attempt, and the refusal of requests that have none.
 
-// maxPermitTargets is how many targets a box asks permits for at once: an issuer that has none for so many
-// has hardly any.
+// maxPermitTargets is the number of targets for which a box requests permits at once. An issuer that
+// has no permit for any of so many targets has hardly any at all.
 const maxPermitTargets = 8
 
 // Acquire implements gateway.Fleet.
 func (f *fleet) Acquire(ctx context.Context, now time.Time, q gateway.Query) (gateway.Lease, error) {
-	p, asks, err := f.choose(now, q)
-	if len(asks) > 0 {
-		granted := f.requestPermit(ctx, q.Service, asks)
-		p, err = f.chooseWithPermit(clock.Now(), q, granted)
+	l, candidates, err := f.choose(now, q)
+	if len(candidates) > 0 {
+		granted := f.requestPermit(ctx, q.Service, candidates)
+		l, err = f.chooseWithPermit(clock.Now(), q, granted)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return p, nil
+	return l, nil
 }
 
-// choose gives a place at a target, or the targets for which permits are to be asked, the best
-// first.
+// choose leases a target, or returns the targets for which a permit is to be requested first, the best
+// one first.
 func (f *fleet) choose(now time.Time, q gateway.Query) (*lease, []domain.InstanceID, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastRequestAt[q.Service] = now
 	options := f.options(now, q.Service, q.Tried)
-	open := slices.DeleteFunc(slices.Clone(options), func(o routing.Option) bool { return !f.sendable(now, o) && !f.limits.TurnDue(now, o.ID) })
-	chosen, err := f.pick(now, q, options, open)
+	candidates := slices.DeleteFunc(slices.Clone(options), func(o routing.Option) bool { return !f.sendable(now, o) && !f.limits.TurnDue(now, o.ID) })
+	chosen, err := f.pick(now, q, options, candidates)
 	if err != nil {
 		return nil, nil, err
 	}
 	if !chosen.Limited || f.limits.UsePermit(now, chosen.ID) {
 		return f.newLease(now, chosen), nil, nil
 	}
-	return nil, f.permitCandidates(now, chosen, open), nil
+	return nil, f.permitCandidates(now, chosen, candidates), nil
 }
 
-// chooseWithPermit gives a place at the target for which there is a permit, or else at one that needs none.
+// chooseWithPermit leases the target for which a permit was granted. If there is none, it leases a
+// target that requests can be sent to without requesting a permit.
 func (f *fleet) chooseWithPermit(now time.Time, q gateway.Query, granted domain.InstanceID) (*lease, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -59,8 +60,8 @@
 	if i := slices.IndexFunc(options, func(o routing.Option) bool { return o.ID == granted }); i >= 0 {
 		return f.newLease(now, options[i]), nil
 	}
-	open := slices.DeleteFunc(slices.Clone(options), func(o routing.Option) bool { return !f.sendable(now, o) })
-	chosen, err := f.pick(now, q, options, open)
+	candidates := slices.DeleteFunc(slices.Clone(options), func(o routing.Option) bool { return !f.sendable(now, o) })
+	chosen, err := f.pick(now, q, options, candidates)
 	if err != nil {
 		return nil, err
 	}
@@ -68,43 +69,45 @@
 	return f.newLease(now, chosen), nil
 }
 
-// sendable reports whether the option may be sent work without asking; mu is held.
+// sendable reports whether a request may be sent to the option without requesting a permit: the option
+// has no limit, or this box has a permit for it. mu is held.
 func (f *fleet) sendable(now time.Time, o routing.Option) bool {
 	return !o.Limited || f.limits.HasPermit(now, o.ID)
 }
 
-// pick chooses among those of the options that are open, or refuses the request; mu is held.
-func (f *fleet) pick(now time.Time, q gateway.Query, options, open []routing.Option) (routing.Option, error) {
-	chosen, ok := f.balancer.Pick(now, f.hall, open)
+// pick chooses one of the candidates, which are a part of the options, or refuses the request. mu is held.
+func (f *fleet) pick(now time.Time, q gateway.Query, options, candidates []routing.Option) (routing.Option, error) {
+	chosen, ok := f.balancer.Pick(now, f.hall, candidates)
 	switch {
 	case ok:
 		return chosen, f.admit(now, q, chosen)
 	case len(options) == 0:
-		return chosen, fault.New(fault.NoTarget, "service %s has no target that takes requests", q.Service).RetryAt(f.retryAt(now, q))
+		return chosen, fault.New(fault.NoTarget, "service %s has no available target", q.Service).RetryAt(f.retryAt(now, q))
 	default:
 		at := now.Add(admission.RetryAfterPermits(f.earliestTurn(options).Sub(now), q.Deadline.Sub(now), rand.Float64()))
-		return chosen, fault.New(fault.Overloaded, "the %d targets of service %s that take requests have had what they take", len(options), q.Service).RetryAt(at)
+		return chosen, fault.New(fault.Overloaded, "all %d available targets of service %s are at their request limit", len(options), q.Service).RetryAt(at)
 	}
 }
 
-// earliestTurn is when this box may first get a permit for one of the options; mu is held.
+// earliestTurn returns the earliest time from which this box may get a permit for one of the options. mu
+// is held.
 func (f *fleet) earliestTurn(options []routing.Option) time.Time {
-	first := f.limits.Turn(options[0].ID)
+	earliest := f.limits.Turn(options[0].ID)
 	for _, o := range options {
-		if t := f.limits.Turn(o.ID); t.Before(first) {
-			first = t
+		if t := f.limits.Turn(o.ID); t.Before(earliest) {
+			earliest = t
 		}
 	}
-	return first
+	return earliest
 }
 
-// permitCandidates are the chosen option and those that would be chosen after it, as long as they need permits
-// too; mu is held.
-func (f *fleet) permitCandidates(now time.Time, chosen routing.Option, open []routing.Option) []domain.InstanceID {
+// permitCandidates returns the chosen option and the options that would be chosen after it, up to the
+// first that needs no requested permit. mu is held.
+func (f *fleet) permitCandidates(now time.Time, chosen routing.Option, candidates []routing.Option) []domain.InstanceID {
 	list := []domain.InstanceID{chosen.ID}
 	for len(list) < maxPermitTargets {
-		open = slices.DeleteFunc(slices.Clone(open), func(o routing.Option) bool { return o.ID == chosen.ID })
-		next, ok := f.balancer.Pick(now, f.hall, open)
+		candidates = slices.DeleteFunc(slices.Clone(candidates), func(o routing.Option) bool { return o.ID == chosen.ID })
+		next, ok := f.balancer.Pick(now, f.hall, candidates)
 		if !ok || f.sendable(now, next) {
 			break
 		}
@@ -114,31 +117,31 @@
 	return list
 }
 
-// newLease takes a place newLease the option; mu is held.
+// newLease leases the option. mu is held.
 func (f *fleet) newLease(now time.Time, o routing.Option) *lease {
-	t, _ := f.roster.Get(o.ID) // it was listed a moment ago
+	t, _ := f.roster.Get(o.ID) // present: mu has been held since the options were listed
 	return &lease{fleet: f, target: t, option: o, ticket: f.balancer.Sent(now, o), acquiredAt: now, permitted: o.Limited}
 }
 
-// admit refuses a request that would wait too long for a slot; mu is held.
+// admit refuses the first attempt of a request that would wait too long for a slot. mu is held.
 func (f *fleet) admit(now time.Time, q gateway.Query, o routing.Option) error {
-	begins, wait := f.balancer.EstimateFirstByte(now, o)
-	ask := admission.Request{Route: q.Route, Remaining: q.Deadline.Sub(now), LatencyObjective: q.LatencyObjective, FirstByte: begins, Wait: wait}
-	ok, rest := f.gate.Admit(ask, rand.Float64())
+	firstByte, wait := f.balancer.EstimateFirstByte(now, o)
+	request := admission.Request{Route: q.Route, Remaining: q.Deadline.Sub(now), LatencyObjective: q.LatencyObjective, FirstByte: firstByte, Wait: wait}
+	ok, retryAfter := f.gate.Admit(request, rand.Float64())
 	if ok || !q.First {
 		return nil
 	}
-	return fault.New(fault.Overloaded, "an answer would begin after %v, %v of it waiting; it should within %v", begins, wait, q.LatencyObjective).
-		RetryAt(now.Add(rest))
+	return fault.New(fault.Overloaded, "the response would begin after %v, of which %v waiting for a slot; the latency objective is %v", firstByte, wait, q.LatencyObjective).
+		RetryAt(now.Add(retryAfter))
 }
 
-// retryAt is when a caller comes back where no target takes requests; mu is held.
+// retryAt returns when a caller should retry if no target is available. mu is held.
 func (f *fleet) retryAt(now time.Time, q gateway.Query) time.Time {
-	in := time.Duration(0)
-	if rested := f.roster.EarliestRestEnd(now, q.Service); !rested.IsZero() {
-		in = rested.Sub(now)
+	reopening := time.Duration(0) // time until the first resting target accepts requests; 0 if unknown
+	if restEnd := f.roster.EarliestRestEnd(now, q.Service); !restEnd.IsZero() {
+		reopening = restEnd.Sub(now)
 	}
-	return now.Add(admission.RetryAfterReopening(in, q.Deadline.Sub(now), rand.Float64()))
+	return now.Add(admission.RetryAfterReopening(reopening, q.Deadline.Sub(now), rand.Float64()))
 }
 
 // AvailableAt implements gateway.Fleet.
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -16,8 +16,8 @@
 	"clovertrail.dev/routing"
 )
 
-// fleet guards what the box knows of targets, and chooses among them. It implements
-// gateway.Fleet.
+// fleet guards the state of the targets as this box sees them, and chooses targets for attempts. It
+// implements gateway.Fleet.
 //
 // Lock order: mu is the only lock, and no I/O is done under it.
 type fleet struct {
@@ -27,17 +27,17 @@
 	balancer       *routing.Balancer
 	gate           *admission.Gate
 	limits         *ratelimit.Register
-	lastRequestAt  map[domain.ServiceName]time.Time          // when a target of the service was last asked for
-	onFailure      func()                                    // called when a target let this box down, and others are to learn of it
-	onEjected      func(domain.InstanceID)                   // called when a target is ejected as several boxes report failures of it
-	onLeaving      func(id domain.InstanceID, source string) // called when a target reports that it is leaving, and nothing did before
-	witness        func(domain.Target) string                // another process that is reached on the way to the target
-	onLimitChanged func(w ratelimit.Report, source string)   // called when a target has another limit than before
+	lastRequestAt  map[domain.ServiceName]time.Time          // by service: when a target was last requested
+	onFailure      func()                                    // called after a failure of a target that other boxes are to be notified of
+	onEjected      func(domain.InstanceID)                   // called when a target is ejected because several boxes report failures of it
+	onLeaving      func(id domain.InstanceID, source string) // called on the first report that a target is leaving
+	witness        func(domain.Target) string                // returns the address of another process on the network path to the target
+	onLimitChanged func(r ratelimit.Report, source string)   // called when the limit of a target changed
 	requestPermit  permitFunc
 }
 
-// permitFunc gets permits for the first of the targets of the service that has any, and reports
-// which; empty if none has.
+// permitFunc requests permits for the first of the service's targets that has any, and returns that
+// target; empty if none has any.
 type permitFunc func(ctx context.Context, svc domain.ServiceName, targets []domain.InstanceID) domain.InstanceID
 
 func newFleet(self domain.BoxID, hall domain.HallName, p membership.RosterPolicy) *fleet {
@@ -57,19 +57,20 @@
 	}
 }
 
-// with runs f under the lock.
+// with calls run under the lock.
 func (f *fleet) with(run func(*membership.Roster, *routing.Balancer)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	run(f.roster, f.balancer)
 }
 
-// options are the targets of the service that may get new work; mu is held.
+// options returns the targets of the service that may be sent new requests, without those already tried.
+// mu is held.
 func (f *fleet) options(now time.Time, svc domain.ServiceName, tried []domain.InstanceID) []routing.Option {
 	var options []routing.Option
-	for _, u := range f.roster.Ranked(now, svc) {
-		if u.Standing.Usable() && !slices.Contains(tried, u.Target.ID()) {
-			o := optionOf(u)
+	for _, r := range f.roster.Ranked(now, svc) {
+		if r.Standing.Usable() && !slices.Contains(tried, r.Target.ID()) {
+			o := optionOf(r)
 			o.Limited = !f.limits.Unlimited(o.ID)
 			options = append(options, o)
 		}
@@ -77,23 +78,23 @@
 	return options
 }
 
-// standings is what is thought of the targets of services that were asked for.
+// standings returns the standing of each target of the services that were requested.
 func (f *fleet) standings(now time.Time) map[domain.InstanceID]membership.Standing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := map[domain.InstanceID]membership.Standing{}
 	for svc := range f.lastRequestAt {
-		for _, u := range f.roster.Ranked(now, svc) {
-			all[u.Target.ID()] = u.Standing
+		for _, r := range f.roster.Ranked(now, svc) {
+			all[r.Target.ID()] = r.Standing
 		}
 	}
 	return all
 }
 
-// demandWindow is how long after a request a service counts as asked for.
+// demandWindow is how long after a request its service counts as in demand.
 const demandWindow = 15 * time.Second
 
-// lacksTargets reports whether a service that is asked for has no target to be used.
+// lacksTargets reports whether a service in demand has no usable target.
 func (f *fleet) lacksTargets(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,17 +106,18 @@
 	return false
 }
 
-// otherHallsSilent reports whether nothing is received from another data hall.
+// otherHallsSilent reports whether there are targets in other data halls, and nothing is received from
+// any of these halls.
 func (f *fleet) otherHallsSilent(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.OtherHallsSilent(now, f.hall)
 }
 
-func optionOf(u membership.Ranked) routing.Option {
-	o := routing.Option{ID: u.Target.ID(), Hall: u.Target.Hall(), Slots: u.Target.Slots(), Tier: int(u.Standing)}
-	if r, ok := u.Target.Rank(); ok {
-		o.Group = r.Group
+func optionOf(r membership.Ranked) routing.Option {
+	o := routing.Option{ID: r.Target.ID(), Hall: r.Target.Hall(), Slots: r.Target.Slots(), Tier: int(r.Standing)}
+	if rank, ok := r.Target.Rank(); ok {
+		o.Group = rank.Group
 	}
 	return o
 }
@@ -129,100 +131,101 @@
 	})
 }
 
-// leavingReported takes that the target reports that it is leaving, by the source.
+// leavingReported records a report that the target is leaving. The source is for the log.
 func (f *fleet) leavingReported(now time.Time, id domain.InstanceID, source string) {
-	news := false
-	f.with(func(r *membership.Roster, _ *routing.Balancer) { news = r.LeavingReported(now, id) })
-	if news {
+	first := false
+	f.with(func(r *membership.Roster, _ *routing.Balancer) { first = r.LeavingReported(now, id) })
+	if first {
 		f.onLeaving(id, source)
 	}
 }
 
-// recordLimit takes what a target stated about its limit with the answer to a request for which it was taken
-// at the time.
-func (f *fleet) recordLimit(now time.Time, id domain.InstanceID, l call.Limit, taken time.Time) {
+// recordLimit records the limit that a target named in its response to a request that leased it at
+// leasedAt.
+func (f *fleet) recordLimit(now time.Time, id domain.InstanceID, l call.Limit, leasedAt time.Time) {
 	f.mu.Lock()
-	news := f.limits.RecordAnswer(now, id, l, taken)
+	changed := f.limits.RecordAnswer(now, id, l, leasedAt)
 	f.mu.Unlock()
-	if news {
+	if changed {
 		f.onLimitChanged(ratelimit.Report{Target: id, Limit: l, At: now}, "answer")
 	}
 }
 
-// updateLimits takes reports of limits from another box.
+// updateLimits records another box's reports of limits. The source is for the log.
 func (f *fleet) updateLimits(now time.Time, reports []ratelimit.Report, source string) {
-	var news []ratelimit.Report
+	var changed []ratelimit.Report
 	f.mu.Lock()
-	for _, w := range reports {
-		if f.limits.Update(now, w) {
-			news = append(news, w)
+	for _, r := range reports {
+		if f.limits.Update(now, r) {
+			changed = append(changed, r)
 		}
 	}
 	f.mu.Unlock()
-	for _, w := range news {
-		f.onLimitChanged(w, source)
+	for _, r := range changed {
+		f.onLimitChanged(r, source)
 	}
 }
 
-// forget drops what is known of targets that are long gone.
+// forget drops the loads and limits of targets that the roster no longer has.
 func (f *fleet) forget(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known := func(id domain.InstanceID) bool {
+	keep := func(id domain.InstanceID) bool {
 		_, ok := f.roster.Get(id)
 		return ok
 	}
-	f.balancer.Forget(now, known)
-	f.limits.Forget(now, known)
+	f.balancer.Forget(now, keep)
+	f.limits.Forget(now, keep)
 }
 
-// limitReports are the newest limitReports of the targets' limits, as far as they name any.
+// limitReports returns the newest limit report of each of the targets, without those that have none.
 func (f *fleet) limitReports(targets []domain.InstanceID) []ratelimit.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []ratelimit.Report
 	for _, id := range targets {
-		if w, known := f.limits.Report(id); known {
-			list = append(list, w)
+		if r, ok := f.limits.Report(id); ok {
+			list = append(list, r)
 		}
 	}
 	return list
 }
 
-// hasLimits reports whether there are limits, or were lately.
+// hasLimits reports whether any target has a limit, or had one until recently.
 func (f *fleet) hasLimits() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.limits.HasLimits()
 }
 
-// limitReportsForPeers are reports of limits for other boxes.
+// limitReportsForPeers returns the limit reports to send to other boxes: all recent changes, and up to
+// others of the rest.
 func (f *fleet) limitReportsForPeers(now time.Time, others int) []ratelimit.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.limits.ReportsForPeers(now, others)
 }
 
-// useGrant takes permits that were asked for at the time, and reports for which target one is used at
-// once; empty if there is none.
-func (f *fleet) useGrant(asked time.Time, g ratelimit.Grant) domain.InstanceID {
-	if g.Permits > 0 && !ratelimit.PermitExpired(clock.Now(), asked) {
+// useGrant uses a permit of a grant that was requested at the time, and stores the others for later
+// requests. It returns the target of the permit used; empty if there is none or it has expired.
+func (f *fleet) useGrant(requested time.Time, g ratelimit.Grant) domain.InstanceID {
+	if g.Permits > 0 && !ratelimit.PermitExpired(clock.Now(), requested) {
 		g.Permits--
-		f.storeGrant(asked, g)
+		f.storeGrant(requested, g)
 		return g.Target
 	}
-	f.storeGrant(asked, g)
+	f.storeGrant(requested, g)
 	return ""
 }
 
-// storeGrant takes permits that were asked for at the time, for later requests.
-func (f *fleet) storeGrant(asked time.Time, g ratelimit.Grant) {
+// storeGrant stores a grant that was requested at the time, for later requests.
+func (f *fleet) storeGrant(requested time.Time, g ratelimit.Grant) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range g.Turns {
 		f.limits.SetTurn(t.Target, t.At)
 	}
 	if g.Target != "" {
-		f.limits.AddPermits(asked, g.Target, g.Permits)
+		f.limits.AddPermits(requested, g.Target, g.Permits)
 	}
 }
--- a/node/lease.go
+++ b/node/lease.go
@@ -11,109 +11,109 @@
 	"clovertrail.dev/routing"
 )
 
-// lease is a lease at a target. It implements gateway.Lease.
+// lease is the use of a target for one attempt. It implements gateway.Lease.
 type lease struct {
 	fleet      *fleet
 	target     domain.Target
 	option     routing.Option
 	ticket     *routing.Ticket
 	acquiredAt time.Time
-	// permitted reports that the target has a limit, and that there is a permit for the attempt.
+	// permitted reports whether the target has a limit, and a permit is used for the attempt.
 	permitted bool
 }
 
 // Target implements gateway.Lease.
-func (p *lease) Target() domain.Target { return p.target }
+func (l *lease) Target() domain.Target { return l.target }
 
 // Witness implements gateway.Lease.
-func (p *lease) Witness() string { return p.fleet.witness(p.target) }
+func (l *lease) Witness() string { return l.fleet.witness(l.target) }
 
 // MaySend implements gateway.Lease.
-func (p *lease) MaySend(now time.Time) bool {
-	p.fleet.mu.Lock()
-	defer p.fleet.mu.Unlock()
-	id := p.target.ID()
-	if !p.fleet.roster.AcceptsWork(now, id) {
+func (l *lease) MaySend(now time.Time) bool {
+	l.fleet.mu.Lock()
+	defer l.fleet.mu.Unlock()
+	id := l.target.ID()
+	if !l.fleet.roster.AcceptsWork(now, id) {
 		return false
 	}
-	return p.fleet.limits.MaySend(now, id, p.permitted, p.acquiredAt)
+	return l.fleet.limits.MaySend(now, id, l.permitted, l.acquiredAt)
 }
 
 // UpdateStatus implements gateway.Lease.
-func (p *lease) UpdateStatus(now time.Time, a call.Answer) {
-	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
-		if l := a.Load; l != nil {
-			b.Report(now, p.target.ID(), routing.Report{Running: l.Running, Waiting: l.Waiting})
+func (l *lease) UpdateStatus(now time.Time, a call.Answer) {
+	l.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
+		if a.Load != nil {
+			b.Report(now, l.target.ID(), routing.Report{Running: a.Load.Running, Waiting: a.Load.Waiting})
 		}
 		if until := a.RestUntil(); !until.IsZero() {
-			r.RestRequested(p.target.ID(), until)
+			r.RestRequested(l.target.ID(), until)
 		}
-		if a.NoRoom(p.target.ID().Listed()) {
-			r.Rejected(now, p.target.ID())
+		if a.NoRoom(l.target.ID().Listed()) {
+			r.Rejected(now, l.target.ID())
 		}
 	})
 	if a.Leaving {
-		p.fleet.leavingReported(now, p.target.ID(), "answer")
+		l.fleet.leavingReported(now, l.target.ID(), "answer")
 	}
-	p.fleet.recordLimit(now, p.target.ID(), a.Limit, p.acquiredAt)
+	l.fleet.recordLimit(now, l.target.ID(), a.Limit, l.acquiredAt)
 }
 
 // ResponseOverdue implements gateway.Lease.
-func (p *lease) ResponseOverdue() {
-	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) { p.reportFailure(clock.Now(), r, b) })
+func (l *lease) ResponseOverdue() {
+	l.fleet.with(func(r *membership.Roster, b *routing.Balancer) { l.reportFailure(clock.Now(), r, b) })
 }
 
-// reportFailure records that it let this box down, unless its whole group
-// stands still, which is no fault of one rank. The fleet is locked.
-func (p *lease) reportFailure(now time.Time, r *membership.Roster, b *routing.Balancer) {
-	if !b.IsStepping(now, p.option) {
+// reportFailure records a failure of the target, unless its whole group has stopped stepping, which is
+// not the fault of one rank. The fleet's lock is held.
+func (l *lease) reportFailure(now time.Time, r *membership.Roster, b *routing.Balancer) {
+	if !b.IsStepping(now, l.option) {
 		return
 	}
-	tell, ejected := r.ReportFailure(now, p.target.ID())
-	if tell {
-		p.fleet.onFailure()
+	notify, ejected := r.ReportFailure(now, l.target.ID())
+	if notify {
+		l.fleet.onFailure()
 	}
 	if ejected {
-		p.fleet.onEjected(p.target.ID())
+		l.fleet.onEjected(l.target.ID())
 	}
 }
 
 // ResponseStarted implements gateway.Lease.
-func (p *lease) ResponseStarted() {
-	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.Began(clock.Now(), p.ticket) })
+func (l *lease) ResponseStarted() {
+	l.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.Began(clock.Now(), l.ticket) })
 }
 
 // IsStraggler implements gateway.Lease.
-func (p *lease) IsStraggler(now time.Time, tried []domain.InstanceID) bool {
-	p.fleet.mu.Lock()
-	defer p.fleet.mu.Unlock()
-	return p.fleet.balancer.IsStraggler(now, p.option, p.fleet.options(now, p.target.Service(), tried))
+func (l *lease) IsStraggler(now time.Time, tried []domain.InstanceID) bool {
+	l.fleet.mu.Lock()
+	defer l.fleet.mu.Unlock()
+	return l.fleet.balancer.IsStraggler(now, l.option, l.fleet.options(now, l.target.Service(), tried))
 }
 
 // ReportEventGap implements gateway.Lease.
-func (p *lease) ReportEventGap(pause, objective time.Duration) {
-	p.fleet.with(func(_ *membership.Roster, b *routing.Balancer) {
-		b.RecordPause(clock.Now(), p.option, pause, objective)
+func (l *lease) ReportEventGap(gap, objective time.Duration) {
+	l.fleet.with(func(_ *membership.Roster, b *routing.Balancer) {
+		b.RecordPause(clock.Now(), l.option, gap, objective)
 	})
 }
 
 // Release implements gateway.Lease.
-func (p *lease) Release(v gateway.Verdict) {
+func (l *lease) Release(v gateway.Verdict) {
 	now := clock.Now()
-	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
-		b.Ended(now, p.ticket)
+	l.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
+		b.Ended(now, l.ticket)
 		switch v {
 		case gateway.Good:
-			r.Succeeded(now, p.target.ID())
+			r.Succeeded(now, l.target.ID())
 		case gateway.Bad:
-			r.Failed(now, p.target.ID())
-			p.reportFailure(now, r, b)
+			r.Failed(now, l.target.ID())
+			l.reportFailure(now, r, b)
 		case gateway.Full:
-			r.Failed(now, p.target.ID())
+			r.Failed(now, l.target.ID())
 		case gateway.Unreachable, gateway.ProcessEnded:
-			r.Unreachable(now, p.target.ID())
+			r.Unreachable(now, l.target.ID())
 		case gateway.Replaced:
-			r.Replaced(p.target.ID())
+			r.Replaced(l.target.ID())
 		}
 	})
 }
