--- a/node/adverts.go
+++ b/node/adverts.go
@@ -13,34 +13,35 @@
 	"clovertrail.dev/store"
 )
 
-// What adverts hold, and how boxes take them.
+// This file has the contents of adverts, and how a box processes the adverts of others.
 
-// advert is what this box reports: about other boxes, too, unless it is only for news, and with all
-// what the other box may have missed of works in quarantine.
-func (p *peering) advert(news, all bool) *mesh.Advert {
+// advert returns an advert of this box. With changesOnly it names no other boxes, and limits only if
+// they changed recently. With all it has all observations of works that ended targets, for a box that may
+// have missed some.
+func (p *peering) advert(changesOnly, all bool) *mesh.Advert {
 	now := clock.Now()
 	others := otherLimitsPerRound
-	if news {
+	if changesOnly {
 		others = 0
 	}
-	own := p.storeProgress()
+	progress := p.storeProgress()
 	failureReports, works := p.failureReports(now), p.entry.quarantine.observations(now, all)
-	limits, apart := p.entry.limiting.reportsForPeers(now, others), p.entry.limiting.usesFallback(now)
-	limited := p.entry.fleet.hasLimits()
+	limits, usesFallback := p.entry.limiting.reportsForPeers(now, others), p.entry.limiting.usesFallback(now)
+	hasLimits := p.entry.fleet.hasLimits()
 	var leavers []domain.InstanceID
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { leavers = r.LeavingTargets(now) })
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := &mesh.Advert{
 		Self: contactOf(p.self, 0), Hall: domain.HallName(p.entry.settings().Hall), Leaving: p.entry.gateway.Stopping(),
-		Config: own.Config, Targets: own.Targets, News: news,
+		Config: progress.Config, Targets: progress.Targets, News: changesOnly,
 		FailureReports: failureReports, Leavers: leavers, Works: works,
 		Limits: limits, Blank: !p.briefed,
 	}
-	if limited {
-		a.Share = p.shareReport(now, apart)
+	if hasLimits {
+		a.Share = p.shareReport(now, usesFallback)
 	}
-	if news {
+	if changesOnly {
 		return a
 	}
 	for c, ago := range p.boxes.PeersToAdvertise(now, passOnMost, passOnFew) {
@@ -49,9 +50,9 @@
 	return a
 }
 
-// shareReport is how this box shares limits; mu is held.
-func (p *peering) shareReport(now time.Time, apart bool) *mesh.ShareReport {
-	return &mesh.ShareReport{Boxes: p.boxes.LimitSharers(now), Apart: apart, Settled: p.boxes.Settled(now)}
+// shareReport returns how this box shares limits with others. mu is held.
+func (p *peering) shareReport(now time.Time, usesFallback bool) *mesh.ShareReport {
+	return &mesh.ShareReport{Boxes: p.boxes.LimitSharers(now), Apart: usesFallback, Settled: p.boxes.Settled(now)}
 }
 
 func contactOf(c membership.Contact, ago time.Duration) mesh.Contact {
@@ -62,83 +63,84 @@
 	return membership.Contact{Box: c.Box, Address: c.Address, Incarnation: c.Incarnation, Hall: c.Hall}
 }
 
-// shareReportFrom gives nothing for a box that knows no limits.
-func shareReportFrom(w *mesh.ShareReport) membership.ShareReport {
-	if w == nil {
+// shareReportFrom returns a zero report for nil, which is sent by boxes that have no limits.
+func shareReportFrom(r *mesh.ShareReport) membership.ShareReport {
+	if r == nil {
 		return membership.ShareReport{}
 	}
-	return membership.ShareReport{Boxes: w.Boxes, UsesFallback: w.Apart, Settled: w.Settled}
+	return membership.ShareReport{Boxes: r.Boxes, UsesFallback: r.Apart, Settled: r.Settled}
 }
 
-// failureReports are what boxes report against targets, to be passed on.
+// failureReports returns the failure reports to send to other boxes, those of this box and of others.
 func (p *peering) failureReports(now time.Time) []mesh.FailureReport {
 	var list []mesh.FailureReport
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
-		for _, c := range r.FailureReports(now) {
-			list = append(list, mesh.FailureReport{Target: c.Target, By: c.By, Ago: now.Sub(c.At)})
+		for _, f := range r.FailureReports(now) {
+			list = append(list, mesh.FailureReport{Target: f.Target, By: f.By, Ago: now.Sub(f.At)})
 		}
 	})
 	return list
 }
 
-// receiveFailureReports takes what other boxes report against targets.
+// receiveFailureReports records the failure reports of another box.
 func (p *peering) receiveFailureReports(now time.Time, list []mesh.FailureReport) {
 	if len(list) == 0 {
 		return
 	}
 	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) {
-		for _, c := range list {
-			if r.ReceiveFailureReport(now, membership.FailureReport{Target: c.Target, By: c.By, At: now.Add(-c.Ago)}) {
-				p.entry.fleet.onEjected(c.Target)
+		for _, f := range list {
+			if r.ReceiveFailureReport(now, membership.FailureReport{Target: f.Target, By: f.By, At: now.Add(-f.Ago)}) {
+				p.entry.fleet.onEjected(f.Target)
 			}
 		}
 	})
 }
 
-// storeProgress is how far this box knows what the store holds.
+// storeProgress returns how much of the store's contents this box has received.
 func (p *peering) storeProgress() membership.StoreProgress {
 	_, edition := p.entry.view.document()
-	l := membership.StoreProgress{Config: edition}
-	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { l.Targets = r.Newest() })
-	return l
+	progress := membership.StoreProgress{Config: edition}
+	p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { progress.Targets = r.Newest() })
+	return progress
 }
 
 // meet implements mesh.Meet.
 func (p *peering) meet(_ context.Context, a *mesh.Advert) (*mesh.Advert, error) {
 	p.mu.Lock()
-	before := p.boxes.LatestIncarnation(a.Self.Box)
+	remembered := p.boxes.LatestIncarnation(a.Self.Box) // before the advert is received
 	p.mu.Unlock()
 	p.receive(a)
 	reply := p.advert(a.News, false)
-	reply.Remembered = before
+	reply.Remembered = remembered
 	if a.Blank {
 		p.addLimits(reply)
 	}
 	return reply, nil
 }
 
-// addLimits adds to an advert what a box that has just started is to know of limits.
+// addLimits adds all limits and the share report to the reply to a box that has just started.
 func (p *peering) addLimits(reply *mesh.Advert) {
 	now := clock.Now()
 	reply.Limits = p.entry.limiting.reportsForPeers(now, math.MaxInt)
-	apart := p.entry.limiting.usesFallback(now)
+	usesFallback := p.entry.limiting.usesFallback(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	reply.Share = p.shareReport(now, apart)
+	reply.Share = p.shareReport(now, usesFallback)
 }
 
-// receive takes an advert. If it shows that this box is behind, a round follows in
-// which it asks.
+// receive processes an advert of another box. If the advert shows that this box lacks a part of the
+// store's contents, a round follows in which it queries a peer for that part.
 func (p *peering) receive(a *mesh.Advert) {
 	now := clock.Now()
-	p.entry.timeline.observe(store.Later(a.Targets, a.Config.At), "peer "+string(a.Self.Box))
-	own := p.storeProgress()
+	source := "peer " + string(a.Self.Box)
+	p.entry.timeline.observe(store.Later(a.Targets, a.Config.At), source)
+	progress := p.storeProgress()
 	p.receiveFailureReports(now, a.FailureReports)
 	for _, id := range a.Leavers {
-		p.entry.fleet.leavingReported(now, id, "peer "+string(a.Self.Box))
+		p.entry.fleet.leavingReported(now, id, source)
 	}
-	p.entry.quarantine.receive(now, a.Works, "peer "+string(a.Self.Box))
-	p.entry.limiting.receiveReports(now, a.Limits, "peer "+string(a.Self.Box))
+	p.entry.quarantine.receive(now, a.Works, source)
+	p.entry.limiting.receiveReports(now, a.Limits, source)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.boxes.Receive(now, contactFrom(a.Self), a.Hall, membership.StoreProgress{Config: a.Config, Targets: a.Targets}, a.Leaving)
@@ -146,5 +148,5 @@
 	for _, c := range a.Known {
 		p.boxes.ReceiveIndirect(now, contactFrom(c), c.Ago)
 	}
-	p.noteBehind(now, own)
+	p.noteBehind(now, progress)
 }
--- a/node/limiting.go
+++ b/node/limiting.go
@@ -14,8 +14,8 @@
 	"clovertrail.dev/telemetry"
 )
 
-// limiting gets permits for targets that name a limit, and hands them out where this box is the
-// issuer of a service.
+// limiting requests permits for targets that have named a limit, and issues permits for the services
+// whose issuer this box is.
 //
 // Lock order: mu is the only lock, and no I/O is done under it.
 type limiting struct {
@@ -23,21 +23,21 @@
 
 	mu         sync.Mutex
 	allocator  *ratelimit.Allocator
-	lastNotify time.Time // other boxes were last informed of a limit at once
+	lastNotify time.Time // when other boxes were last notified at once of a changed limit
 }
 
 const (
-	// permitTimeout is how long a request waits for an issuer's answer: several usual ones, and a part
-	// of the shortest time in which callers want theirs.
+	// permitTimeout is how long a request waits for an issuer's reply. It is several times the usual
+	// time of a reply, and a part of the shortest time in which callers want a response.
 	permitTimeout = 50 * time.Millisecond
-	// issuerTimeout is after how long an issuer that has not answered counts as silent: what it hands
-	// out has nearly lapsed by then.
+	// issuerTimeout is the timeout of a request to an issuer, after which the request counts as failed.
+	// Permits that arrive later would have nearly expired.
 	issuerTimeout = 400 * time.Millisecond
-	// otherLimitsPerRound is how many limits a box tells with each round besides those that are news, for
-	// boxes that started or were cut off meanwhile.
+	// otherLimitsPerRound is the number of limits that a box sends with each round of adverts in
+	// addition to the recent changes, for boxes that started or were isolated in the meantime.
 	otherLimitsPerRound = 2
-	// minNotifyInterval is the least time between two rounds that come at once for news of limits. A target
-	// may name one with every other answer.
+	// minNotifyInterval is the shortest time between two rounds of adverts that are started for a
+	// changed limit. A target may name a different limit in every other response.
 	minNotifyInterval = 100 * time.Millisecond
 )
 
@@ -46,171 +46,174 @@
 	return &limiting{entry: e, allocator: ratelimit.NewAllocator(self, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))}
 }
 
-// limitChanged logs that a target has another limit than before, and notifies other boxes at once.
-func (l *limiting) limitChanged(w ratelimit.Report, source string) {
+// limitChanged logs the changed limit of a target, and notifies other boxes at once unless they were
+// notified less than minNotifyInterval ago.
+func (l *limiting) limitChanged(r ratelimit.Report, source string) {
 	now := clock.Now()
-	l.entry.common.Log.Info("target limit", "target", w.Target, "limit", w.Limit, "age", now.Sub(w.At), "source", source)
+	l.entry.common.Log.Info("target limit", "target", r.Target, "limit", r.Limit, "age", now.Sub(r.At), "source", source)
 	l.mu.Lock()
-	kick := now.Sub(l.lastNotify) >= minNotifyInterval
-	if kick {
+	notify := now.Sub(l.lastNotify) >= minNotifyInterval
+	if notify {
 		l.lastNotify = now
 	}
 	l.mu.Unlock()
-	if kick {
+	if notify {
 		l.entry.peering.notify()
 	}
 }
 
-// requestPermit implements permitting.
+// requestPermit implements permitFunc.
 func (l *limiting) requestPermit(ctx context.Context, svc domain.ServiceName, targets []domain.InstanceID) domain.InstanceID {
 	now := clock.Now()
-	issuer, way := l.permitSource(now, svc)
+	issuer, from := l.permitSource(now, svc)
 	reports := l.entry.fleet.limitReports(targets)
 	var g ratelimit.Grant
-	source := "issuer"
-	switch w := way.(type) {
+	label := "issuer" // of the metric
+	switch s := from.(type) {
 	case ratelimit.Local:
 		g = l.issue(now, svc, reports)
 	case ratelimit.Remote:
-		g = l.requestFromIssuer(ctx, svc, issuer, reports, w.Prefetch)
+		g = l.requestFromIssuer(ctx, svc, issuer, reports, s.Prefetch)
 	case ratelimit.Fallback:
-		g, source = l.issueFallback(now, svc, reports), "own part"
-		if w.Probe != "" {
-			l.requestFromIssuer(ctx, svc, issuer, nil, true) // it only finds out whether the issuer answers
+		g, label = l.issueFallback(now, svc, reports), "own part"
+		if s.Probe != "" {
+			l.requestFromIssuer(ctx, svc, issuer, nil, true) // only checks whether the issuer replies
 		}
-	case ratelimit.Pending: // there is none now
+	case ratelimit.Pending: // no permit until the issuer replies to the request in progress
 	}
 	if g.Permits == 0 {
-		source = "none"
+		label = "none"
 	}
-	l.entry.common.Metrics.Count(telemetry.Permits, source, max(g.Permits, 1))
+	l.entry.common.Metrics.Count(telemetry.Permits, label, max(g.Permits, 1))
 	return l.entry.fleet.useGrant(now, g)
 }
 
-// permitSource is where permits for the service come from, and who is its issuer. Where that is to be asked
-// it counts as asked from now on.
+// permitSource returns the issuer of the service, and where permits for the service come from. If the
+// issuer is to be sent a request, that is recorded as sent.
 func (l *limiting) permitSource(now time.Time, svc domain.ServiceName) (membership.Contact, ratelimit.Source) {
 	issuer := l.entry.peering.issuer(now, svc)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	way := l.allocator.Source(now, svc, issuer.Box)
-	switch w := way.(type) {
+	from := l.allocator.Source(now, svc, issuer.Box)
+	switch s := from.(type) {
 	case ratelimit.Remote:
 		l.allocator.RequestSent(issuer.Box)
 	case ratelimit.Fallback:
-		if w.Probe != "" {
+		if s.Probe != "" {
 			l.allocator.RequestSent(issuer.Box)
 		}
 	}
-	return issuer, way
+	return issuer, from
 }
 
-// isIssuer reports whether this box isIssuer the service's issuer, which isIssuer the box.
+// isIssuer reports whether this box is the issuer of the service, given the box that is.
 func (l *limiting) isIssuer(issuer domain.BoxID, svc domain.ServiceName) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.allocator.IsIssuer(issuer, svc)
 }
 
-// permitRequest is one to an issuer, whose answer a request may wait for.
+// permitRequest is a request for permits to an issuer.
 type permitRequest struct {
 	svc    domain.ServiceName
 	issuer membership.Contact
-	asked  time.Time
-	// waited reports that the request waits no more, and that what comes is for later ones. It is
-	// guarded by limiting's mu.
-	waited bool
-	answer chan ratelimit.Grant
+	sentAt time.Time
+	// detached reports whether no caller's request waits for the reply, so that its permits are stored
+	// for later requests. It is guarded by limiting's mu.
+	detached bool
+	reply    chan ratelimit.Grant
 }
 
-// requestFromIssuer asks the issuer. The request waits for the answer for permitWithin at the most, and not at all
-// where permits are asked for ahead; what comes later is kept for other requests. If the caller
-// leaves meanwhile the answer is waited for all the same: the issuer is not silent for that.
-func (l *limiting) requestFromIssuer(ctx context.Context, svc domain.ServiceName, issuer membership.Contact, reports []ratelimit.Report, ahead bool) ratelimit.Grant {
-	q := &permitRequest{svc: svc, issuer: issuer, asked: clock.Now(), waited: ahead, answer: make(chan ratelimit.Grant, 1)}
-	go l.send(context.WithoutCancel(ctx), q, reports)
-	if ahead {
+// requestFromIssuer requests permits from the issuer. It waits at most permitTimeout for the reply, and
+// not at all with prefetch; permits that arrive later are stored for other requests. If the caller leaves
+// in the meantime the reply is still awaited, so that the issuer does not count as failed.
+func (l *limiting) requestFromIssuer(ctx context.Context, svc domain.ServiceName, issuer membership.Contact, reports []ratelimit.Report, prefetch bool) ratelimit.Grant {
+	r := &permitRequest{svc: svc, issuer: issuer, sentAt: clock.Now(), detached: prefetch, reply: make(chan ratelimit.Grant, 1)}
+	go l.send(context.WithoutCancel(ctx), r, reports)
+	if prefetch {
 		return ratelimit.Grant{}
 	}
-	late := clock.AfterFunc(q.asked.Add(permitTimeout), func() { l.replyOverdue(q) })
-	defer late.Stop()
-	return <-q.answer
+	timer := clock.AfterFunc(r.sentAt.Add(permitTimeout), func() { l.replyOverdue(r) })
+	defer timer.Stop()
+	return <-r.reply
 }
 
-// replyOverdue lets the request go on without an answer.
-func (l *limiting) replyOverdue(q *permitRequest) {
+// replyOverdue detaches the request from the caller's request, which goes on without a permit.
+func (l *limiting) replyOverdue(r *permitRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(q.answer) > 0 {
-		return // it has come just now
+	if len(r.reply) > 0 {
+		return // the reply has just arrived
 	}
-	q.waited = true
-	l.allocator.ReplyOverdue(q.issuer.Box)
-	q.answer <- ratelimit.Grant{}
+	r.detached = true
+	l.allocator.ReplyOverdue(r.issuer.Box)
+	r.reply <- ratelimit.Grant{}
 }
 
-// send asks the question and hands its answer on.
-func (l *limiting) send(ctx context.Context, q *permitRequest, reports []ratelimit.Report) {
+// send sends the request to the issuer. It passes the granted permits on to the caller's request that
+// waits, or stores them if none does.
+func (l *limiting) send(ctx context.Context, r *permitRequest, reports []ratelimit.Report) {
 	ctx, cancel := context.WithTimeout(ctx, issuerTimeout)
 	defer cancel()
-	ask := &mesh.PermitQuery{Service: q.svc}
-	for _, w := range reports {
-		ask.Wants = append(ask.Wants, mesh.LimitReportOf(q.asked, w))
+	query := &mesh.PermitQuery{Service: r.svc}
+	for _, report := range reports {
+		query.Wants = append(query.Wants, mesh.LimitReportOf(r.sentAt, report))
 	}
-	r, err := mesh.Call[mesh.PermitQuery, mesh.PermitReply](ctx, l.entry.mesh, q.issuer.Address, mesh.Permit, ask)
+	reply, err := mesh.Call[mesh.PermitQuery, mesh.PermitReply](ctx, l.entry.mesh, r.issuer.Address, mesh.Permit, query)
 	now := clock.Now()
 	var g ratelimit.Grant
 	if err == nil {
-		g = r.Grant(now)
+		g = reply.Grant(now)
 	}
 	l.mu.Lock()
-	l.recordReply(now, q, r, err)
-	later := q.waited
-	if !later {
-		q.answer <- g
+	l.recordReply(now, r, reply, err)
+	detached := r.detached
+	if !detached {
+		r.reply <- g
 	}
 	l.mu.Unlock()
-	if later {
-		l.entry.fleet.storeGrant(q.asked, g)
+	if detached {
+		l.entry.fleet.storeGrant(r.sentAt, g)
 	}
 }
 
-// recordReply takes what became of a question, and logs what is new about its issuer; mu is held.
-func (l *limiting) recordReply(now time.Time, q *permitRequest, r *mesh.PermitReply, err error) {
-	log := l.entry.common.Log.With("service", q.svc, "peer", q.issuer.Box, "after", now.Sub(q.asked))
+// recordReply records the reply to a request or its failure, and logs if the issuer starts or ceases to
+// reply with permits. mu is held.
+func (l *limiting) recordReply(now time.Time, r *permitRequest, reply *mesh.PermitReply, err error) {
+	log := l.entry.common.Log.With("service", r.svc, "peer", r.issuer.Box, "after", now.Sub(r.sentAt))
 	switch {
-	case err != nil && l.allocator.RequestFailed(now, q.issuer.Box):
-		log.Warn("issuer lost", "err", err)
+	case err != nil && l.allocator.RequestFailed(now, r.issuer.Box):
+		log.Warn("permit request to issuer failed, using the fallback share of limits", "err", err)
 		l.entry.peering.notify()
-	case err == nil && !r.Issuer && l.allocator.RequestDeclined(now, q.issuer.Box):
-		log.Info("box is not the issuer")
+	case err == nil && !reply.Issuer && l.allocator.RequestDeclined(now, r.issuer.Box):
+		log.Info("permit request declined by a box that is not the issuer, using the fallback share of limits")
 		l.entry.peering.notify()
-	case err == nil && r.Issuer && l.allocator.ReplyReceived(q.svc, q.issuer.Box, now.Sub(q.asked) <= permitTimeout):
-		log.Info("issuer regained")
+	case err == nil && reply.Issuer && l.allocator.ReplyReceived(r.svc, r.issuer.Box, now.Sub(r.sentAt) <= permitTimeout):
+		log.Info("issuer replies again, using the permits that it issues")
 	}
 }
 
-// issue hands out permits as the issuer of the service.
+// issue issues permits as the issuer of the service.
 func (l *limiting) issue(now time.Time, svc domain.ServiceName, reports []ratelimit.Report) ratelimit.Grant {
-	heard, sharing := l.entry.peering.part(now)
+	served, sharers := l.entry.peering.part(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.allocator.Issue(now, svc, wantsOf(reports), ratelimit.Share(heard, sharing))
+	return l.allocator.Issue(now, svc, wantsOf(reports), ratelimit.Share(served, sharers))
 }
 
-// issueFallback hands out permits by this box's issueFallback part.
+// issueFallback issues permits to this box from its fallback share.
 func (l *limiting) issueFallback(now time.Time, svc domain.ServiceName, reports []ratelimit.Report) ratelimit.Grant {
-	_, sharing := l.entry.peering.part(now)
+	_, sharers := l.entry.peering.part(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.allocator.IssueFallback(now, svc, wantsOf(reports), ratelimit.Share(1, sharing))
+	return l.allocator.IssueFallback(now, svc, wantsOf(reports), ratelimit.Share(1, sharers))
 }
 
-// wantsOf are the targets of the reports, with what they get a second.
+// wantsOf returns the targets of the reports with their limits in requests per second.
 func wantsOf(reports []ratelimit.Report) []ratelimit.Want {
 	var list []ratelimit.Want
-	for _, w := range reports {
-		list = append(list, ratelimit.Want{Target: w.Target, Rate: ratelimit.Rate(w.Limit)})
+	for _, r := range reports {
+		list = append(list, ratelimit.Want{Target: r.Target, Rate: ratelimit.Rate(r.Limit)})
 	}
 	return list
 }
@@ -221,35 +224,37 @@
 	if issuer := l.entry.peering.issuer(now, q.Service); !l.isIssuer(issuer.Box, q.Service) {
 		return &mesh.PermitReply{}, nil
 	}
-	var asked []domain.InstanceID
-	for _, w := range l.receiveReports(now, q.Wants, "asker") {
-		asked = append(asked, w.Target)
+	var targets []domain.InstanceID
+	for _, r := range l.receiveReports(now, q.Wants, "asker") {
+		targets = append(targets, r.Target)
 	}
-	return mesh.ReplyOf(now, l.issue(now, q.Service, l.entry.fleet.limitReports(asked))), nil
+	return mesh.ReplyOf(now, l.issue(now, q.Service, l.entry.fleet.limitReports(targets))), nil
 }
 
-// receiveReports takes what another box reports about limits, and returns it.
+// receiveReports records the limit reports that another box sent, and returns those that are valid. The
+// source is for the log.
 func (l *limiting) receiveReports(now time.Time, list []mesh.LimitReport, source string) []ratelimit.Report {
 	var reports []ratelimit.Report
 	for _, m := range list {
-		if w, ok := m.Report(now); ok {
-			reports = append(reports, w)
+		if r, ok := m.Report(now); ok {
+			reports = append(reports, r)
 		}
 	}
 	l.entry.fleet.updateLimits(now, reports, source)
 	return reports
 }
 
-// reportsForPeers is what other boxes are sent about limits: news, and so many others.
+// reportsForPeers returns the limit reports to send to other boxes: all recent changes, and up to others
+// of the rest.
 func (l *limiting) reportsForPeers(now time.Time, others int) []mesh.LimitReport {
 	var list []mesh.LimitReport
-	for _, w := range l.entry.fleet.limitReportsForPeers(now, others) {
-		list = append(list, mesh.LimitReportOf(now, w))
+	for _, r := range l.entry.fleet.limitReportsForPeers(now, others) {
+		list = append(list, mesh.LimitReportOf(now, r))
 	}
 	return list
 }
 
-// usesFallback reports whether this box goes by its own part of limits.
+// usesFallback reports whether this box uses its fallback share of limits.
 func (l *limiting) usesFallback(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
