--- a/node/limiting.go
+++ b/node/limiting.go
@@ -27,12 +27,12 @@
 }
 
 const (
-	// permitTimeout is how long a request waits for an issuer's reply. It is several times the usual
+	// maxPermitWait is how long a request waits for an issuer's reply. It is several times the usual
 	// time of a reply, and a part of the shortest time in which callers want a response.
-	permitTimeout = 50 * time.Millisecond
-	// issuerTimeout is the timeout of a request to an issuer, after which the request counts as failed.
+	maxPermitWait = 50 * time.Millisecond
+	// permitRequestTimeout is the timeout of a request to an issuer, after which the request counts as failed.
 	// Permits that arrive later would have nearly expired.
-	issuerTimeout = 400 * time.Millisecond
+	permitRequestTimeout = 400 * time.Millisecond
 	// otherLimitsPerRound is the number of limits that a box sends with each round of adverts in
 	// addition to the recent changes, for boxes that started or were isolated in the meantime.
 	otherLimitsPerRound = 2
@@ -124,7 +124,7 @@
 	reply    chan ratelimit.Grant
 }
 
-// requestFromIssuer requests permits from the issuer. It waits at most permitTimeout for the reply, and
+// requestFromIssuer requests permits from the issuer. It waits at most maxPermitWait for the reply, and
 // not at all with prefetch; permits that arrive later are stored for other requests. If the caller leaves
 // in the meantime the reply is still awaited, so that the issuer does not count as failed.
 func (l *limiting) requestFromIssuer(ctx context.Context, svc domain.ServiceName, issuer membership.Contact, reports []ratelimit.Report, prefetch bool) ratelimit.Grant {
@@ -133,7 +133,7 @@
 	if prefetch {
 		return ratelimit.Grant{}
 	}
-	timer := clock.AfterFunc(r.sentAt.Add(permitTimeout), func() { l.replyOverdue(r) })
+	timer := clock.AfterFunc(r.sentAt.Add(maxPermitWait), func() { l.replyOverdue(r) })
 	defer timer.Stop()
 	return <-r.reply
 }
@@ -153,7 +153,7 @@
 // send sends the request to the issuer. It passes the granted permits on to the caller's request that
 // waits, or stores them if none does.
 func (l *limiting) send(ctx context.Context, r *permitRequest, reports []ratelimit.Report) {
-	ctx, cancel := context.WithTimeout(ctx, issuerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, permitRequestTimeout)
 	defer cancel()
 	query := &mesh.PermitQuery{Service: r.svc}
 	for _, report := range reports {
@@ -188,7 +188,7 @@
 	case err == nil && !reply.Issuer && l.allocator.RequestDeclined(now, r.issuer.Box):
 		log.Info("permit request declined by a box that is not the issuer, using the fallback share of limits")
 		l.entry.peering.notify()
-	case err == nil && reply.Issuer && l.allocator.ReplyReceived(r.svc, r.issuer.Box, now.Sub(r.sentAt) <= permitTimeout):
+	case err == nil && reply.Issuer && l.allocator.ReplyReceived(r.svc, r.issuer.Box, now.Sub(r.sentAt) <= maxPermitWait):
 		log.Info("issuer replies again, using the permits that it issues")
 	}
 }
--- a/node/main.go
+++ b/node/main.go
@@ -28,7 +28,7 @@
 	Run(stop <-chan struct{}) error
 }
 
-// loaders has the function by role that loads the settings file and builds the process.
+// loaders maps a role to the function that loads the settings file and builds the process.
 var loaders = map[string]func(path string) (*loadedProcess, error){
 	"entry": loadEntry,
 	"agent": loadAgent,
