--- a/node/agent_poller.go
+++ b/node/agent_poller.go
@@ -152,7 +152,7 @@
 	p.halls.statuses.RecordReport(clock.Now(), id, report)
 	p.applyReport(id, report)
 	if report.Leaving {
-		p.entry.fleet.leaves(clock.Now(), id, "agent")
+		p.entry.fleet.leavingReported(clock.Now(), id, "agent")
 	}
 	u.Acknowledged(report.MembersEpoch)
 	if !u.Due(clock.Now(), epoch) {
--- a/node/entry.go
+++ b/node/entry.go
@@ -19,17 +19,14 @@
 	"clovertrail.dev/transport"
 )
 
-// The times of connections to targets and the store.
-const (
-	// sweepEvery is the time between two looks for connections that are too old.
-	sweepEvery = time.Second
-)
+// sweepInterval is the time between two passes that close idle connections which are too old.
+const sweepInterval = time.Second
 
 // Entry is the process of an entry box.
 type Entry struct {
 	common     telemetry.Common
 	network    process.Network
-	settings   func() process.EntrySettings // as they are now
+	settings   func() process.EntrySettings // returns the current settings
 	fleet      *fleet
 	view       *view
 	budgets    *budgets
@@ -37,7 +34,7 @@
 	gateway    *gateway.Gateway
 	ready      *readiness
 	mesh       *mesh.Client
-	engines    *http.Client // for orders that are handed on
+	engines    *http.Client // for orders that are forwarded to engines
 	peering    *peering
 	hallPoller *hallPoller
 
@@ -45,14 +42,14 @@
 	timeline   *timeline
 	limiting   *limiting
 
-	standings map[domain.InstanceID]membership.Standing // as they were last logged; checkReadiness's own
+	loggedStandings map[domain.InstanceID]membership.Standing // as last logged; used by the goroutine of judge only
 }
 
-// NewEntry returns the process. now gives its settings as they are now; those that
-// change while it runs are put in force by ApplySettings.
-func NewEntry(c telemetry.Common, n process.Network, now func() process.EntrySettings) *Entry {
-	s := now()
-	e := &Entry{common: c, network: n, settings: now, budgets: newBudgets(s.Bounds), ready: &readiness{}}
+// NewEntry returns the process of an entry box. settings returns the current settings; Took applies
+// settings that change while the process runs.
+func NewEntry(c telemetry.Common, n process.Network, settings func() process.EntrySettings) *Entry {
+	s := settings()
+	e := &Entry{common: c, network: n, settings: settings, budgets: newBudgets(s.Bounds), ready: &readiness{}}
 	e.fleet = newFleet(domain.BoxID(s.Box), domain.HallName(s.Hall), rosterPolicy(s))
 	e.pool = transport.NewPool(n.Dial, transport.DefaultSettings())
 	e.mesh = mesh.NewClient(n.Dial)
@@ -63,21 +60,21 @@
 		func() bool { return e.peering.isolated(clock.Now()) },
 		func() store.Era { return e.timeline.latest().Era() })
 	e.gateway = gateway.New(gateway.Dependencies{
-		Common: c, Headers: platform.Speech{}, Fleet: e.fleet, Pool: e.pool, Budget: e.budgets.purse,
+		Common: c, Headers: platform.Speech{}, Fleet: e.fleet, Pool: e.pool, Budget: e.budgets.forService,
 		Quarantine: e.quarantine,
 	})
 	e.peering = newPeering(e)
-	e.fleet.letDown, e.fleet.ejected, e.fleet.witness = e.peering.notify, e.onTargetEjected, e.witness
-	e.fleet.left = e.onTargetLeaving
+	e.fleet.onFailure, e.fleet.onEjected, e.fleet.witness = e.peering.notify, e.onTargetEjected, e.witness
+	e.fleet.onLeaving = e.onTargetLeaving
 	e.limiting = newLimiting(e)
-	e.fleet.limited, e.fleet.permits = e.limiting.named, e.limiting.permits
+	e.fleet.onLimitChanged, e.fleet.requestPermit = e.limiting.limitChanged, e.limiting.requestPermit
 	e.hallPoller = newHallPoller(e)
-	e.view = &view{common: c, fleet: e.fleet, adopt: e.adopt, changed: e.peering.notify}
+	e.view = &view{common: c, fleet: e.fleet, adopt: e.applyConfiguration, changed: e.peering.notify}
 	return e
 }
 
-// witness is the address of another process that is reached on the way to the target: the
-// agent on its box, or another entry box of its hall; empty if there is none.
+// witness returns the address of another process on the network path to the target: the agent on its
+// box, or another entry box of its hall; empty if there is none.
 func (e *Entry) witness(t domain.Target) string {
 	if _, ranked := t.Rank(); ranked && e.settings().AgentPort > 0 {
 		return agentAddress(t, e.settings().AgentPort)
@@ -88,28 +85,28 @@
 	return ""
 }
 
-// adopt puts a configuration in force.
-func (e *Entry) adopt(c *catalog.Catalog) {
+// applyConfiguration puts the configuration in force.
+func (e *Entry) applyConfiguration(c *catalog.Catalog) {
 	e.gateway.Configure(c)
 	e.ready.configured.Store(true)
 }
 
-// command hands an order on for the coordinator of a group.
+// command forwards an order to one engine for the coordinator of a group.
 func (e *Entry) command(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
 	return rank.ForwardOrder(ctx, e.common, e.engines, c)
 }
 
-// deal hands an order on to many engines.
+// deal forwards an order to many engines for the coordinator of a group.
 func (e *Entry) deal(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
 	return rank.ForwardToEngines(ctx, e.common, e.engines, c)
 }
 
-// Run serves until leave is closed, then finishes what is in flight and returns.
-func (e *Entry) Run(leave <-chan struct{}) error {
+// Run serves until stop is closed, then completes the requests in flight and returns.
+func (e *Entry) Run(stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	failed := make(chan error, 1)
-	door, err := e.listen(failed)
+	callers, err := e.startServers(failed)
 	if err != nil {
 		return err
 	}
@@ -118,52 +115,55 @@
 	}
 	go e.peering.run(ctx)
 	e.common.Log.Info("started", "hall", e.settings().Hall, "callers", e.settings().Callers, "peers", e.settings().Peers, "store", e.settings().Store)
-	kept := eraStore{
+	records := eraStore{
 		RecordStore: platform.NewStore(e.settings().Store, process.HTTPClient(e.network), e.timeline.observeEra),
 		timeline:    e.timeline,
 	}
-	e.follow(ctx, kept)
-	go e.quarantine.run(ctx, kept, e.settings().FirstStart)
-	go e.sweep(ctx)
+	e.followStore(ctx, records)
+	go e.quarantine.run(ctx, records, e.settings().FirstStart)
+	go e.sweepConnections(ctx)
 	go e.checkReadiness(ctx)
 	if e.settings().AgentPort > 0 {
 		go newAgentPoller(e).run(ctx)
 	}
 	select {
-	case <-leave:
+	case <-stop:
 	case err := <-failed:
 		return err
 	}
-	return e.leave(door)
+	return e.stop(callers)
 }
 
-func (e *Entry) follow(ctx context.Context, feed store.Feed) {
+// followStore starts to follow the configuration and the targets in the store.
+func (e *Entry) followStore(ctx context.Context, feed store.Feed) {
 	configuration, targets := e.followConfiguration(feed), e.followTargets(feed)
 	e.hallPoller.setStoreHealthy(func() bool { return configuration.healthy.Load() && targets.healthy.Load() })
 	go configuration.run(ctx)
 	go targets.run(ctx)
 }
 
-func (e *Entry) sweep(ctx context.Context) {
+// sweepConnections closes idle connections to targets that are too old, until ctx ends.
+func (e *Entry) sweepConnections(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.SleepUntil(ctx, clock.Now().Add(sweepEvery))
+		clock.SleepUntil(ctx, clock.Now().Add(sweepInterval))
 		e.pool.Sweep(clock.Now())
 	}
 }
 
-// listen opens what callers and the platform ask. The door takes callers.
-func (e *Entry) listen(failed chan<- error) (*gateway.Listener, error) {
+// startServers starts the servers for callers, for the platform's readiness checks and for metrics. It
+// returns the listener for callers; errors of the servers are sent to failed.
+func (e *Entry) startServers(failed chan<- error) (*gateway.Listener, error) {
 	s := process.NewServers(e.network, failed)
 	limits := catalog.DefaultLimits()
-	door := gateway.NewListener(&http.Server{
+	callers := gateway.NewListener(&http.Server{
 		Handler: e.gateway, MaxHeaderBytes: limits.HeaderBytes,
 		ReadHeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout,
 	})
-	if err := s.Serve(door, e.settings().Callers); err != nil {
+	if err := s.Serve(callers, e.settings().Callers); err != nil {
 		return nil, err
 	}
 	if err := s.Serve(&http.Server{Handler: e.ready, ReadHeaderTimeout: limits.HeaderTimeout}, e.settings().Ready); err != nil {
 		return nil, err
 	}
-	return door, s.ServeMetrics(e.common, e.settings().Metrics)
+	return callers, s.ServeMetrics(e.common, e.settings().Metrics)
 }
--- /dev/null
+++ b/node/lease.go
@@ -0,0 +1,119 @@
+package node
+
+import (
+	"time"
+
+	"clovertrail.dev/core/call"
+	"clovertrail.dev/core/clock"
+	"clovertrail.dev/core/domain"
+	"clovertrail.dev/gateway"
+	"clovertrail.dev/membership"
+	"clovertrail.dev/routing"
+)
+
+// lease is the use of a target for one attempt. It implements gateway.Lease.
+type lease struct {
+	fleet      *fleet
+	target     domain.Target
+	option     routing.Option
+	ticket     *routing.Ticket
+	acquiredAt time.Time
+	// permitted reports whether the target has a limit, and a permit is used for the attempt.
+	permitted bool
+}
+
+// Target implements gateway.Lease.
+func (l *lease) Target() domain.Target { return l.target }
+
+// Witness implements gateway.Lease.
+func (l *lease) Witness() string { return l.fleet.witness(l.target) }
+
+// MaySend implements gateway.Lease.
+func (l *lease) MaySend(now time.Time) bool {
+	l.fleet.mu.Lock()
+	defer l.fleet.mu.Unlock()
+	id := l.target.ID()
+	if !l.fleet.roster.AcceptsWork(now, id) {
+		return false
+	}
+	return l.fleet.limits.MaySend(now, id, l.permitted, l.acquiredAt)
+}
+
+// UpdateStatus implements gateway.Lease.
+func (l *lease) UpdateStatus(now time.Time, a call.Answer) {
+	l.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
+		if a.Load != nil {
+			b.Report(now, l.target.ID(), routing.Report{Running: a.Load.Running, Waiting: a.Load.Waiting})
+		}
+		if until := a.RestUntil(); !until.IsZero() {
+			r.RestRequested(l.target.ID(), until)
+		}
+		if a.NoRoom(l.target.ID().Listed()) {
+			r.Rejected(now, l.target.ID())
+		}
+	})
+	if a.Leaving {
+		l.fleet.leavingReported(now, l.target.ID(), "answer")
+	}
+	l.fleet.recordLimit(now, l.target.ID(), a.Limit, l.acquiredAt)
+}
+
+// ResponseOverdue implements gateway.Lease.
+func (l *lease) ResponseOverdue() {
+	l.fleet.with(func(r *membership.Roster, b *routing.Balancer) { l.reportFailure(clock.Now(), r, b) })
+}
+
+// reportFailure records a failure of the target, unless its whole group has stopped stepping, which is
+// not the fault of one rank. The fleet's lock is held.
+func (l *lease) reportFailure(now time.Time, r *membership.Roster, b *routing.Balancer) {
+	if !b.IsStepping(now, l.option) {
+		return
+	}
+	notify, ejected := r.ReportFailure(now, l.target.ID())
+	if notify {
+		l.fleet.onFailure()
+	}
+	if ejected {
+		l.fleet.onEjected(l.target.ID())
+	}
+}
+
+// ResponseStarted implements gateway.Lease.
+func (l *lease) ResponseStarted() {
+	l.fleet.with(func(_ *membership.Roster, b *routing.Balancer) { b.Began(clock.Now(), l.ticket) })
+}
+
+// IsStraggler implements gateway.Lease.
+func (l *lease) IsStraggler(now time.Time, tried []domain.InstanceID) bool {
+	l.fleet.mu.Lock()
+	defer l.fleet.mu.Unlock()
+	return l.fleet.balancer.IsStraggler(now, l.option, l.fleet.options(now, l.target.Service(), tried))
+}
+
+// ReportEventGap implements gateway.Lease.
+func (l *lease) ReportEventGap(gap, objective time.Duration) {
+	l.fleet.with(func(_ *membership.Roster, b *routing.Balancer) {
+		b.RecordPause(clock.Now(), l.option, gap, objective)
+	})
+}
+
+// Release implements gateway.Lease.
+func (l *lease) Release(v gateway.Verdict) {
+	now := clock.Now()
+	l.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
+		b.Ended(now, l.ticket)
+		switch v {
+		case gateway.Good:
+			r.Succeeded(now, l.target.ID())
+		case gateway.Bad:
+			r.Failed(now, l.target.ID())
+			l.reportFailure(now, r, b)
+		case gateway.Full:
+			r.Failed(now, l.target.ID())
+		case gateway.Unreachable, gateway.ProcessEnded:
+			r.Unreachable(now, l.target.ID())
+		case gateway.Replaced:
+			r.Replaced(l.target.ID())
+		}
+	})
+}
--- a/node/peering.go
+++ b/node/peering.go
@@ -257,7 +257,7 @@
 // catchUp pulls updates from a box that has newer ones, if this box is behind.
 func (p *peering) catchUp(ctx context.Context) {
 	now := clock.Now()
-	own := p.level()
+	own := p.storeProgress()
 	p.mu.Lock()
 	p.trackBehind(now, own)
 	c, ok := p.boxes.ChoosePullPeer(now, own, p.behindSince)
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -40,11 +40,11 @@
 func (e *Entry) logStandings(now time.Time) {
 	standings := e.fleet.standings(now)
 	for id, s := range standings {
-		if before := e.standings[id]; before != s {
+		if before := e.loggedStandings[id]; before != s {
 			e.common.Log.Info("target standing", "target", id, "standing", s, "before", before)
 		}
 	}
-	e.standings = standings
+	e.loggedStandings = standings
 }
 
 // onTargetEjected records that a target gets no requests because several boxes report failures of
@@ -64,7 +64,7 @@
 func (e *Entry) checkReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := clock.Now()
-		isolated := (e.peering.isolated(now) || e.fleet.cutOff(now)) && e.fleet.wanting(now)
+		isolated := (e.peering.isolated(now) || e.fleet.otherHallsSilent(now)) && e.fleet.lacksTargets(now)
 		if before := e.ready.isolated.Swap(isolated); before != isolated {
 			e.common.Log.Warn("cut off without targets", "stranded", isolated, "before", before)
 		}
--- a/node/suspended.go
+++ b/node/suspended.go
@@ -9,14 +9,14 @@
 
 // onSuspended handles a suspension of the machine of the given duration, or the error for which
 // suspensions cannot be detected.
-func (p *loaded) onSuspended(d time.Duration, err error) {
+func (p *loadedProcess) onSuspended(d time.Duration, err error) {
 	if err != nil {
 		p.common.Log.Error("reading the clocks failed, suspensions of the machine are not detected", "err", err)
 		return
 	}
 	p.common.Metrics.Count(telemetry.Suspensions, "", int(math.Ceil(d.Seconds())))
 	p.common.Log.Warn("machine was suspended", "for", d)
-	p.woken()
+	p.onResume()
 }
 
 // CatchUpAfterSuspension starts a round of adverts at once, as the box may have missed updates while
