--- a/node/distribution/doc.go
+++ b/node/distribution/doc.go
@@ -20,11 +20,11 @@
 //	err := received.Expand(call)                      // before the order goes to the engine
 //
 //	deltas := distribution.NewCountDeltas()           // at every agent
-//	report.Picked = deltas.Since(now, requester, born, counts)
+//	report.ExpertCounts = deltas.Since(now, requester, born, counts)
 //
 //	relays := distribution.NewRelays(rank, members)   // at the coordinator of a large group
 //	for _, a := range relays.Assign(ranks, eligible) { read(a.Relay, a.Ranks) }
 //
 //	counter := distribution.NewCounter(shape)         // at the coordinator
-//	if counter.Add(rank, report.Picked) { load := counter.SumAndReset() }
+//	if counter.Add(rank, report.ExpertCounts) { load := counter.SumAndReset() }
 package distribution
--- a/node/entry.go
+++ b/node/entry.go
@@ -45,7 +45,7 @@
 	loggedStandings map[domain.InstanceID]membership.Standing // as last logged; used by the goroutine of judge only
 }
 
-// NewEntry returns the process of an entry box. settings returns the current settings; Took applies
+// NewEntry returns the process of an entry box. settings returns the current settings; ApplySettings applies
 // settings that change while the process runs.
 func NewEntry(c telemetry.Common, n process.Network, settings func() process.EntrySettings) *Entry {
 	s := settings()
