--- a/node/entry.go
+++ b/node/entry.go
@@ -63,7 +63,7 @@
 		func() bool { return e.peering.isolated(clock.Now()) },
 		func() store.Era { return e.timeline.latest().Era() })
 	e.gateway = gateway.New(gateway.Dependencies{
-		Common: c, Headers: platform.Speech{}, Fleet: e.fleet, Pool: e.pool, Budget: e.budgets.purse,
+		Common: c, Headers: platform.HeaderCodec{}, Fleet: e.fleet, Pool: e.pool, Budget: e.budgets.purse,
 		Quarantine: e.quarantine,
 	})
 	e.peering = newPeering(e)
