--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -203,7 +203,7 @@
 func reportOf(r platform.Report) *mesh.RankReport {
 	return &mesh.RankReport{
 		Born: r.Born, Group: r.Rank.Group, Rank: r.Rank.Number, Size: r.Rank.Size, State: r.State,
-		Running: r.Running, Waiting: r.Waiting, Pace: r.Pace, Leaving: r.Leaving,
+		Running: r.Running, Waiting: r.Waiting, Pace: r.Slowdown, Leaving: r.Leaving,
 	}
 }
 
@@ -232,7 +232,7 @@
 		out.Picked = a.picks.Since(clock.Now(), telling.Asker{Group: r.Rank.Group, Rank: q.From}, born, counts)
 	}
 	if q.Holds {
-		version, holds, err := a.engine.Holds(ctx)
+		version, holds, err := a.engine.CurrentMap(ctx)
 		if err != nil {
 			return nil, err
 		}
--- a/node/rank/orders.go
+++ b/node/rank/orders.go
@@ -18,7 +18,7 @@
 	began := clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, engineWithin)
 	defer cancel()
-	res, err := e.Order(ctx, call.Epoch, call.Fence, call.Order)
+	res, err := e.SendOrder(ctx, call.Epoch, call.Fence, call.Order)
 	c.Metrics.Observe(telemetry.OrderTime, orders.Name(call.Order)+" "+res.String(), clock.Since(began))
 	return res, err
 }
