--- a/cli/status.go
+++ b/cli/status.go
@@ -38,7 +38,7 @@
 		return fmt.Errorf("targets: %w", err)
 	}
 	for _, r := range configs.Records {
-		if r.Name != platform.Configuration {
+		if r.Name != platform.ConfigurationName {
 			continue
 		}
 		d, err := platform.DecodeConfiguration(r.Spec)
--- a/node/following.go
+++ b/node/following.go
@@ -169,7 +169,7 @@
 // followConfiguration follows the operator's configuration.
 func (e *Entry) followConfiguration(feed store.Feed) *following {
 	take := func(r store.Record) {
-		if r.Name == platform.Configuration {
+		if r.Name == platform.ConfigurationName {
 			e.view.configuration(r.Spec, r.At, "store")
 		}
 	}
