--- a/local/rest_test.go
+++ b/local/rest_test.go
@@ -230,7 +230,7 @@
 			sc := busy()
 			sc.seed, sc.callers = 1, 0
 			sc.operate = func(s *local.System, h *history) {
-				s.Store.SetTrouble(standin.Silent, 0)
+				s.Store.SetFailureMode(standin.Unresponsive, 0)
 				x := tc.leave(s)
 				x.Behave(func(h *standin.Habits) { h.Leaving = true })
 				leaver = x.ID()
--- a/local/restore_test.go
+++ b/local/restore_test.go
@@ -92,7 +92,7 @@
 const storeTakes = 4 * time.Millisecond
 
 func (way restore) operate(s *local.System, h *history) {
-	s.Store.SetTrouble(standin.Sound, storeTakes)
+	s.Store.SetFailureMode(standin.Healthy, storeTakes)
 	if way.header != nil {
 		s.Store.SetEraHeader(way.header)
 	}
@@ -138,7 +138,7 @@
 			served[e.Life()] = version
 		}
 	}
-	s.Store.SetTrouble(standin.Silent, 0)
+	s.Store.SetFailureMode(standin.Unresponsive, 0)
 	time.Sleep(way.away)
 	if way.starts {
 		e := s.Entries()[0]
@@ -151,7 +151,7 @@
 			_ = s.Targets()[0].ListAgain() // an object of the test's own, which the store takes
 		}
 	}
-	s.Store.SetTrouble(standin.Sound, storeTakes)
+	s.Store.SetFailureMode(standin.Healthy, storeTakes)
 	time.Sleep(way.away)
 	for _, e := range s.Entries() {
 		before := served[e.Life()]
@@ -206,7 +206,7 @@
 			sc := busy()
 			sc.paths, sc.length, sc.seed = []string{"/again/x", "/once/x"}, 16*time.Second, 1
 			sc.operate = func(s *local.System, _ *history) {
-				s.Store.SetTrouble(standin.Sound, storeTakes)
+				s.Store.SetFailureMode(standin.Healthy, storeTakes)
 				if tc.cut {
 					s.Network.SetLink(s.Halls()[1], local.StoreHall, local.Refused)
 				}
@@ -215,14 +215,14 @@
 				tc.before(s)
 				left = time.Now()
 				time.Sleep(2 * time.Second)
-				s.Store.SetTrouble(standin.Busy, storeTakes)
+				s.Store.SetFailureMode(standin.Unavailable, storeTakes)
 				time.Sleep(time.Second)
 				s.Store.Restore(held)
 				tc.at(s)
 				if !tc.left {
 					left = time.Now()
 				}
-				s.Store.SetTrouble(standin.Sound, storeTakes)
+				s.Store.SetFailureMode(standin.Healthy, storeTakes)
 				restored = time.Now()
 				time.Sleep(time.Second)
 				tc.later(s)
@@ -272,7 +272,7 @@
 			sc := busy()
 			sc.seed, sc.length, sc.paths, sc.fatal = 1, 24*time.Second, []string{"/again/y"}, fatal
 			sc.operate = func(s *local.System, h *history) {
-				s.Store.SetTrouble(standin.Sound, storeTakes)
+				s.Store.SetFailureMode(standin.Healthy, storeTakes)
 				held := s.Store.Copy()
 				e := entry(s, 0)
 				s.Ask(context.Background(), e, standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Within: 2 * time.Second})
--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -135,9 +135,9 @@
 	"silence link":  linkTrouble(local.Silent),
 	"cut store":     storeLink(local.Refused),
 	"silence store": storeLink(local.Silent),
-	"store busy":    storeTrouble(standin.Busy, 0),
-	"store silent":  storeTrouble(standin.Silent, 0),
-	"store slow":    storeTrouble(standin.Sound, 300*time.Millisecond),
+	"store busy":    storeTrouble(standin.Unavailable, 0),
+	"store silent":  storeTrouble(standin.Unresponsive, 0),
+	"store slow":    storeTrouble(standin.Healthy, 300*time.Millisecond),
 	"store forgets": {
 		func(s *local.System, _ int) { s.Store.Compact() },
 		func(s *local.System, _ int) { s.Store.Compact() }},
@@ -184,10 +184,10 @@
 	}
 }
 
-func storeTrouble(t standin.Trouble, delay time.Duration) turn {
+func storeTrouble(t standin.FailureMode, delay time.Duration) turn {
 	return turn{
-		func(s *local.System, _ int) { s.Store.SetTrouble(t, delay) },
-		func(s *local.System, _ int) { s.Store.SetTrouble(standin.Sound, 0) },
+		func(s *local.System, _ int) { s.Store.SetFailureMode(t, delay) },
+		func(s *local.System, _ int) { s.Store.SetFailureMode(standin.Healthy, 0) },
 	}
 }
 
--- a/local/system.go
+++ b/local/system.go
@@ -242,7 +242,7 @@
 // Close stops everything. The error is of processes that ended by themselves.
 func (s *System) Close() error {
 	s.Network.openAll()
-	s.Store.SetTrouble(standin.Sound, time.Millisecond) // calls that take no time at all could go on for ever
+	s.Store.SetFailureMode(standin.Healthy, time.Millisecond) // calls that take no time at all could go on for ever
 	var stops sync.WaitGroup
 	for _, e := range s.entries {
 		stops.Go(e.Stop)
--- a/node/entry_test.go
+++ b/node/entry_test.go
@@ -214,13 +214,13 @@
 	r := newRig(t)
 	r.target("i-1")
 	r.configure(1)
-	r.store.SetTrouble(standin.Busy, 0)
+	r.store.SetFailureMode(standin.Unavailable, 0)
 	b := r.box("box-1", nil)
 	r.until("the box answers", func() bool { return b.ask("/again/x", key).Status != 0 })
 	if got := b.ask("/again/x", key); b.ready() || got.Status != http.StatusServiceUnavailable || got.Again <= 0 {
 		t.Errorf("without a configuration: ready %v, answered %d, to come again after %v", b.ready(), got.Status, got.Again)
 	}
-	r.store.SetTrouble(standin.Sound, 0)
+	r.store.SetFailureMode(standin.Healthy, 0)
 	r.serving(b)
 }
 
@@ -232,7 +232,7 @@
 	first := r.box("box-1", func(s *process.EntrySettings) { s.Meeting = r.free() })
 	r.serving(first)
 	away := standin.NewStore()
-	away.SetTrouble(standin.Busy, 0)
+	away.SetFailureMode(standin.Unavailable, 0)
 	second := r.box("box-2", func(s *process.EntrySettings) {
 		s.Store = r.serve(away)
 		s.Meeting = r.free()
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -36,9 +36,9 @@
 	{"stop", nothing, stopBox},
 	{"stop", nothing, stopBox},
 	{"read settings again", nothing, onBox(syscall.SIGHUP)},
-	{"store busy", store, storeTrouble(standin.Busy, 0)},
-	{"store silent", store, storeTrouble(standin.Silent, 0)},
-	{"store slow", store, storeTrouble(standin.Sound, 200*time.Millisecond)},
+	{"store busy", store, storeTrouble(standin.Unavailable, 0)},
+	{"store silent", store, storeTrouble(standin.Unresponsive, 0)},
+	{"store slow", store, storeTrouble(standin.Healthy, 200*time.Millisecond)},
 	{"store forgets", store, func(w *world, _ *rand.Rand, _ *box, wait func()) { w.store.Compact(); wait() }},
 	{"store link silent", ownStore, storeLink(silent)},
 	{"store link one way", ownStore, storeLink(oneWay)},
@@ -90,11 +90,11 @@
 	w.ledger.stop(b.name, began, time.Now())
 }
 
-func storeTrouble(t standin.Trouble, delay time.Duration) func(*world, *rand.Rand, *box, func()) {
+func storeTrouble(t standin.FailureMode, delay time.Duration) func(*world, *rand.Rand, *box, func()) {
 	return func(w *world, _ *rand.Rand, _ *box, wait func()) {
-		w.store.SetTrouble(t, delay)
+		w.store.SetFailureMode(t, delay)
 		wait()
-		w.store.SetTrouble(standin.Sound, 0)
+		w.store.SetFailureMode(standin.Healthy, 0)
 	}
 }
 
--- a/soak/restoring.go
+++ b/soak/restoring.go
@@ -56,14 +56,14 @@
 	now := time.Now()
 	w.ledger.fault(act{name: "store restored from a copy", hits: store}, "", now, now.Add(away+rewrittenWithin+slack))
 	if away > 0 {
-		w.store.SetTrouble([]standin.Trouble{standin.Busy, standin.Silent}[r.IntN(2)], 0)
+		w.store.SetFailureMode([]standin.FailureMode{standin.Unavailable, standin.Unresponsive}[r.IntN(2)], 0)
 		time.Sleep(away)
 	}
 	if r.IntN(4) == 0 {
 		w.store.SetEraHeader(func(uint64) []string { return nil })
 	}
 	w.store.Restore(held)
-	w.store.SetTrouble(standin.Sound, 0)
+	w.store.SetFailureMode(standin.Healthy, 0)
 	time.Sleep(time.Duration(r.Int64N(int64(rewrittenWithin))))
 	w.rewrite()
 }
