--- a/local/restore_test.go
+++ b/local/restore_test.go
@@ -127,7 +127,7 @@
 
 // restore takes a copy of the store, lets it lose versions, and brings the copy back.
 func (way restore) restore(s *local.System, h *history, served map[string]int) {
-	held := s.Store.Copy()
+	held := s.Store.Snapshot()
 	version := 0
 	for range way.lost {
 		version = way.configure(s, h)
@@ -211,7 +211,7 @@
 					s.Network.SetLink(s.Halls()[1], local.StoreHall, local.Refused)
 				}
 				time.Sleep(time.Second)
-				held := s.Store.Copy()
+				held := s.Store.Snapshot()
 				tc.before(s)
 				left = time.Now()
 				time.Sleep(2 * time.Second)
@@ -273,7 +273,7 @@
 			sc.seed, sc.length, sc.paths, sc.fatal = 1, 24*time.Second, []string{"/again/y"}, fatal
 			sc.operate = func(s *local.System, h *history) {
 				s.Store.SetFailureMode(standin.Healthy, storeTakes)
-				held := s.Store.Copy()
+				held := s.Store.Snapshot()
 				e := entry(s, 0)
 				s.Ask(context.Background(), e, standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Within: 2 * time.Second})
 				time.Sleep(2 * time.Second)
--- a/soak/restoring.go
+++ b/soak/restoring.go
@@ -30,7 +30,7 @@
 func (w *world) restoring(ctx context.Context, until time.Time) {
 	r := rand.New(rand.NewPCG(w.options.Seed, 6))
 	for time.Now().Add(copyAge+awayMost+lapseAfter).Before(until) && ctx.Err() == nil {
-		held := w.store.Copy()
+		held := w.store.Snapshot()
 		for range r.IntN(lostMost) {
 			_ = w.configure() // an error would show as a version that nobody has
 		}
@@ -52,7 +52,7 @@
 }
 
 // restore brings the copy back, and has written again what it lacks.
-func (w *world) restore(r *rand.Rand, held standin.Copy, away time.Duration) {
+func (w *world) restore(r *rand.Rand, held standin.Snapshot, away time.Duration) {
 	now := time.Now()
 	w.ledger.fault(act{name: "store restored from a copy", hits: store}, "", now, now.Add(away+rewrittenWithin+slack))
 	if away > 0 {
