--- a/soak/restoring.go
+++ b/soak/restoring.go
@@ -45,7 +45,7 @@
 		}
 		time.Sleep(lapseAfter - rewrittenWithin)
 		w.lapse()
-		w.store.SetEraHeader(standin.StatedEra)
+		w.store.SetEraHeader(standin.DefaultEraHeader)
 		_ = w.configure() // an error would show as a version that nobody has
 		time.Sleep(time.Duration(r.Int64N(int64(restoredEvery))))
 	}
@@ -71,13 +71,13 @@
 // rewrite writes the newest configuration and the entries of all targets.
 func (w *world) rewrite() {
 	w.configuring.Lock()
-	_ = w.store.PutAgain("config", "main", w.document(w.newest())) // a document of ours, which the store takes
+	_ = w.store.PutIfChanged("config", "main", w.document(w.newest())) // a document of ours, which the store takes
 	w.configuring.Unlock()
 	for _, h := range w.places() {
 		w.mu.Lock()
 		in, state := h.now, h.state
 		w.mu.Unlock()
-		_ = w.store.PutAgain("servers", in.id, in.entry(h, state))
+		_ = w.store.PutIfChanged("servers", in.id, in.entry(h, state))
 	}
 }
 
