--- a/demo/faults.go
+++ b/demo/faults.go
@@ -50,7 +50,7 @@
 }
 
 func failing(s *local.System, i int, fails bool) {
-	s.Targets()[i%len(s.Targets())].Target().Behave(func(h *standin.Habits) { h.Fail = fails })
+	s.Targets()[i%len(s.Targets())].Target().ChangeBehaviour(func(h *standin.Behaviour) { h.Fail = fails })
 }
 
 // happen lets a fault begin and end at its times.
--- a/local/boxes.go
+++ b/local/boxes.go
@@ -201,11 +201,11 @@
 // remembers nothing, and works as its program did before.
 func (t *TargetBox) StartAgain() error {
 	t.Kill()
-	habits := t.target.Habits()
+	habits := t.target.Behaviour()
 	if err := t.start(); err != nil {
 		return err
 	}
-	t.target.Behave(func(h *standin.Habits) { *h = habits })
+	t.target.ChangeBehaviour(func(h *standin.Behaviour) { *h = habits })
 	return nil
 }
 
--- a/local/limit_test.go
+++ b/local/limit_test.go
@@ -40,7 +40,7 @@
 	return func(s *local.System) {
 		time.Sleep(from)
 		for _, x := range targets(s) {
-			x.Behave(func(h *standin.Habits) { h.Limit = strconv.FormatFloat(perSecond, 'g', -1, 64) })
+			x.ChangeBehaviour(func(h *standin.Behaviour) { h.Limit = strconv.FormatFloat(perSecond, 'g', -1, 64) })
 		}
 	}
 }
@@ -167,7 +167,7 @@
 	return func(s *local.System) {
 		for _, text := range texts {
 			for _, x := range targets(s) {
-				x.Behave(func(h *standin.Habits) { h.Limit = text })
+				x.ChangeBehaviour(func(h *standin.Behaviour) { h.Limit = text })
 			}
 			time.Sleep(each)
 		}
@@ -329,7 +329,7 @@
 	sc.operate = func(s *local.System, h *history) {
 		time.Sleep(5 * time.Second) // boxes that have just started are told all
 		for _, limit := range []string{"7", "none"} {
-			s.Targets()[0].Target().Behave(func(h *standin.Habits) { h.Limit = strings.TrimSuffix(limit, "none") })
+			s.Targets()[0].Target().ChangeBehaviour(func(h *standin.Behaviour) { h.Limit = strings.TrimSuffix(limit, "none") })
 			for range 40 {
 				sc.ask(s, h, entry(s, 0), "/again/x")
 			}
--- a/local/rest_test.go
+++ b/local/rest_test.go
@@ -29,7 +29,7 @@
 	return func(s *local.System, _ *history) {
 		set := func(on bool) {
 			for _, x := range targets(s) {
-				x.Behave(func(h *standin.Habits) { h.Full, h.Rest = on, map[bool]time.Duration{true: rest}[on] })
+				x.ChangeBehaviour(func(h *standin.Behaviour) { h.RejectAll, h.Rest = on, map[bool]time.Duration{true: rest}[on] })
 			}
 		}
 		time.Sleep(from)
@@ -204,7 +204,7 @@
 			sc.seed, sc.troubles, sc.paths, sc.length = 1, tc.also, []string{"/again/x", "/once/x", "/stream/x"}, 14*time.Second
 			sc.operate = func(s *local.System, _ *history) {
 				time.Sleep(3 * time.Second)
-				s.Targets()[0].Target().Behave(func(h *standin.Habits) { h.Leaving = true })
+				s.Targets()[0].Target().ChangeBehaviour(func(h *standin.Behaviour) { h.Leaving = true })
 			}
 			sc.run(t, func(s *local.System, h *history) { checkLeaver(t, s, h, domain.InstanceID(s.Targets()[0].ID())) })
 		})
@@ -232,7 +232,7 @@
 			sc.operate = func(s *local.System, h *history) {
 				s.Store.SetFailureMode(standin.Unresponsive, 0)
 				x := tc.leave(s)
-				x.Behave(func(h *standin.Habits) { h.Leaving = true })
+				x.ChangeBehaviour(func(h *standin.Behaviour) { h.Leaving = true })
 				leaver = x.ID()
 				for range tc.first {
 					sc.ask(s, h, entry(s, 0), tc.path)
--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -144,14 +144,14 @@
 	"target starts again": {
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].StartAgain() },
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].StartAgain() }},
-	"target full": habit(func(h *standin.Habits, on bool) { h.Full = on }),
+	"target full": habit(func(h *standin.Behaviour, on bool) { h.RejectAll = on }),
 	// As its entry may change for another reason: it is listed anew, and still as ready.
 	"list again": {
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].ListAgain() },
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].ListAgain() }},
-	"target fails":  habit(func(h *standin.Habits, on bool) { h.Fail = on }),
-	"answers lost":  habit(func(h *standin.Habits, on bool) { h.Drop = on }),
-	"target breaks": habit(func(h *standin.Habits, on bool) { h.BreakAt = map[bool]int{true: 3}[on] }),
+	"target fails":  habit(func(h *standin.Behaviour, on bool) { h.Fail = on }),
+	"answers lost":  habit(func(h *standin.Behaviour, on bool) { h.DropResponse = on }),
+	"target breaks": habit(func(h *standin.Behaviour, on bool) { h.BreakAfter = map[bool]int{true: 3}[on] }),
 	"late orders": {
 		func(s *local.System, i int) { s.Group().Delay(i%group.Ranks, 250*time.Millisecond) },
 		func(s *local.System, i int) { s.Group().Delay(i%group.Ranks, 0) }},
@@ -191,9 +191,9 @@
 	}
 }
 
-func habit(set func(*standin.Habits, bool)) turn {
+func habit(set func(*standin.Behaviour, bool)) turn {
 	turned := func(s *local.System, i int, on bool) {
-		s.Targets()[i%len(s.Targets())].Target().Behave(func(h *standin.Habits) { set(h, on) })
+		s.Targets()[i%len(s.Targets())].Target().ChangeBehaviour(func(h *standin.Behaviour) { set(h, on) })
 	}
 	return turn{
 		func(s *local.System, i int) { turned(s, i, true) },
@@ -261,14 +261,14 @@
 }
 
 func (sc scenario) behave(x *standin.Target) {
-	x.Behave(func(h *standin.Habits) {
+	x.ChangeBehaviour(func(h *standin.Behaviour) {
 		if sc.events > 0 {
 			h.Events = sc.events
 		}
 		if sc.gap > 0 {
-			h.Gap = sc.gap
+			h.EventGap = sc.gap
 		}
-		h.Fatal, h.Crash = sc.fatal, crashAfter
+		h.CrashBody, h.CrashDelay = sc.fatal, crashAfter
 	})
 }
 
--- a/node/entry_test.go
+++ b/node/entry_test.go
@@ -281,7 +281,7 @@
 	r.configure(1)
 	b := r.box("box-1", nil)
 	r.serving(b)
-	x.Behave(func(h *standin.Habits) { h.Events, h.Gap = 40, 25*time.Millisecond })
+	x.ChangeBehaviour(func(h *standin.Behaviour) { h.Events, h.EventGap = 40, 25*time.Millisecond })
 	before := r.runsAt("i-1")
 	replies := make(chan standin.Reply, 4)
 	for range cap(replies) {
--- a/soak/asking.go
+++ b/soak/asking.go
@@ -39,9 +39,9 @@
 func (w *world) askForRest(r *rand.Rand) {
 	_, in := w.host(r)
 	w.ledger.fault(act{name: "target asks for rest", hits: target}, "", time.Now(), time.Now().Add(askFor+slack))
-	in.target.Behave(func(x *standin.Habits) { x.Full, x.Rest = true, askRest })
+	in.target.ChangeBehaviour(func(x *standin.Behaviour) { x.RejectAll, x.Rest = true, askRest })
 	time.Sleep(askFor)
-	in.target.Behave(func(x *standin.Habits) { x.Full, x.Rest = false, 0 })
+	in.target.ChangeBehaviour(func(x *standin.Behaviour) { x.RejectAll, x.Rest = false, 0 })
 	w.ledger.turnedAway(in.target.Turned())
 }
 
@@ -53,7 +53,7 @@
 		return
 	}
 	defer h.busy.Unlock()
-	in.target.Behave(func(x *standin.Habits) { x.Leaving = true })
+	in.target.ChangeBehaviour(func(x *standin.Behaviour) { x.Leaving = true })
 	w.ledger.says(in.id)
 	time.Sleep(servesOn)
 	_ = w.replace(h, in) // without it there is one target fewer
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -27,7 +27,7 @@
 
 // crashes makes the target end under requests with fatalBody.
 func (w *world) crashes(h *host, in incarnation) {
-	in.target.Behave(func(x *standin.Habits) { x.Fatal, x.Crash = fatalBody, crashAfter })
+	in.target.ChangeBehaviour(func(x *standin.Behaviour) { x.CrashBody, x.CrashDelay = fatalBody, crashAfter })
 	in.target.OnCrash(func() {
 		in.end()
 		w.ledger.fault(act{name: "target crashed by a request", hits: target}, "", time.Now(), time.Now().Add(backAfter+slack))
--- a/soak/limited.go
+++ b/soak/limited.go
@@ -44,12 +44,12 @@
 		var targets []*standin.Target
 		for _, in := range w.draw(r, n) {
 			spell := limited{target: in.id, perSecond: limits[r.IntN(len(limits))], from: time.Now()}
-			in.target.Behave(func(x *standin.Habits) { x.Limit = strconv.FormatFloat(spell.perSecond, 'g', -1, 64) })
+			in.target.ChangeBehaviour(func(x *standin.Behaviour) { x.Limit = strconv.FormatFloat(spell.perSecond, 'g', -1, 64) })
 			spells, targets = append(spells, spell), append(targets, in.target)
 		}
 		time.Sleep(limitFor)
 		for i, x := range targets {
-			x.Behave(func(h *standin.Habits) { h.Limit = "" })
+			x.ChangeBehaviour(func(h *standin.Behaviour) { h.Limit = "" })
 			spells[i].to, spells[i].arrivals = time.Now(), x.Arrivals()
 			w.ledger.limit(spells[i])
 		}
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -50,9 +50,9 @@
 	{"target's answers are reset", target, targetLink(lostAnswers)},
 	{"target's answers are reset", target, targetLink(lostAnswers)},
 	{"target refuses", target, targetLink(refuses)},
-	{"target fails", target, habit(func(h *standin.Habits) { h.Fail = true }, func(h *standin.Habits) { h.Fail = false })},
-	{"target full", target, habit(func(h *standin.Habits) { h.Full = true }, func(h *standin.Habits) { h.Full = false })},
-	{"target breaks off", target, habit(func(h *standin.Habits) { h.BreakAt = 4 }, func(h *standin.Habits) { h.BreakAt = 0 })},
+	{"target fails", target, habit(func(h *standin.Behaviour) { h.Fail = true }, func(h *standin.Behaviour) { h.Fail = false })},
+	{"target full", target, habit(func(h *standin.Behaviour) { h.RejectAll = true }, func(h *standin.Behaviour) { h.RejectAll = false })},
+	{"target breaks off", target, habit(func(h *standin.Behaviour) { h.BreakAfter = 4 }, func(h *standin.Behaviour) { h.BreakAfter = 0 })},
 	{"target leaves", nothing, leave},
 	{"target leaves", nothing, leave},
 	{"target crashes", target, crash},
@@ -117,13 +117,13 @@
 	}
 }
 
-func habit(begin, end func(*standin.Habits)) func(*world, *rand.Rand, *box, func()) {
+func habit(begin, end func(*standin.Behaviour)) func(*world, *rand.Rand, *box, func()) {
 	return func(w *world, r *rand.Rand, _ *box, wait func()) {
 		_, in := w.host(r)
 		t := in.target
-		t.Behave(begin)
+		t.ChangeBehaviour(begin)
 		wait()
-		t.Behave(end)
+		t.ChangeBehaviour(end)
 	}
 }
 
