--- a/local/rest_test.go
+++ b/local/rest_test.go
@@ -69,7 +69,7 @@
 
 // disturbed is the most requests that one box sent a target in a time for which that had asked
 // it for rest, but for its beginning.
-func disturbed(turned []standin.Turned, boxes map[string]string) int {
+func disturbed(turned []standin.Rejection, boxes map[string]string) int {
 	most := 0
 	for _, asked := range turned {
 		n := 0
@@ -108,7 +108,7 @@
 			sc.run(t, func(s *local.System, h *history) {
 				boxes, asks := boxesOf(h), 0
 				for _, x := range tc.targets(s) {
-					turned := x.Turned()
+					turned := x.Rejections()
 					asks += len(turned)
 					if n := disturbed(turned, boxes); n > restMost {
 						t.Errorf("a target had asked a box for %v of rest, and got %d requests from it in that time", rest, n)
@@ -161,7 +161,7 @@
 	sc.run(t, func(s *local.System, h *history) {
 		turned, start := 0, h.asked[0].at
 		for _, x := range alone(away)(s) {
-			turned += len(x.Turned())
+			turned += len(x.Rejections())
 		}
 		asked, refused := 0, 0
 		for _, a := range h.asked {
--- a/soak/asking.go
+++ b/soak/asking.go
@@ -42,7 +42,7 @@
 	in.target.ChangeBehaviour(func(x *standin.Behaviour) { x.RejectAll, x.Rest = true, askRest })
 	time.Sleep(askFor)
 	in.target.ChangeBehaviour(func(x *standin.Behaviour) { x.RejectAll, x.Rest = false, 0 })
-	w.ledger.turnedAway(in.target.Turned())
+	w.ledger.turnedAway(in.target.Rejections())
 }
 
 // sayLeaving lets a target report that it is leaving with its answers only, and puts another in its
@@ -59,7 +59,7 @@
 	_ = w.replace(h, in) // without it there is one target fewer
 }
 
-func (l *ledger) turnedAway(list []standin.Turned) {
+func (l *ledger) turnedAway(list []standin.Rejection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.turned = append(l.turned, list...)
--- a/soak/ledger.go
+++ b/soak/ledger.go
@@ -46,7 +46,7 @@
 	stops  map[string][]span    // planned stops, by box
 	left   map[string]time.Time // when the store took that a target leaves
 	config map[int]time.Time    // when the store took a version
-	turned []standin.Turned     // requests that targets turned away which ask for rest
+	turned []standin.Rejection  // requests that targets turned away which ask for rest
 	said   map[string]time.Time // when a target began to say with its answers that it leaves
 	limits []limited            // times in which targets named limits
 	notes  []string             // what was sent in them
