--- a/soak/ledger.go
+++ b/soak/ledger.go
@@ -149,8 +149,8 @@
 		broken("at most once", "%s by %s: ran at %s and %s", a.request.ID, a.box, runs[0].Target, runs[1].Target)
 	}
 	for _, r := range runs {
-		if r.KeyShown || r.Organisation != a.owner {
-			broken("keys", "%s by %s: the target saw the organisation %q, key shown: %v", a.request.ID, a.box, r.Organisation, r.KeyShown)
+		if r.KeyForwarded || r.Organisation != a.owner {
+			broken("keys", "%s by %s: the target saw the organisation %q, key shown: %v", a.request.ID, a.box, r.Organisation, r.KeyForwarded)
 		}
 	}
 	if a.reply.Err == nil || a.reply.Refused() || a.reply.LeftByCaller() {
