--- a/demo/play.go
+++ b/demo/play.go
@@ -172,11 +172,11 @@
 // ask makes a request at a box that reports that it is ready, as the platform's balancer would,
 // and once more if the caller is informed when to come back.
 func (w Workload) ask(s *local.System, r *Result, kind string, pick int, id string) {
-	q := standin.Request{ID: id, Path: paths[kind], Key: key, Body: "text", Within: within}
+	q := standin.Request{ID: id, Path: paths[kind], Key: key, Body: "text", Timeout: within}
 	reply := s.Ask(context.Background(), ready(s, pick), q)
-	if reply.NotRun() && reply.Again > 0 {
+	if reply.NotRun() && reply.RetryAfter > 0 {
 		r.cameBack()
-		time.Sleep(reply.Again)
+		time.Sleep(reply.RetryAfter)
 		q.ID += "-again"
 		reply = s.Ask(context.Background(), ready(s, pick+1), q)
 	}
--- a/demo/result.go
+++ b/demo/result.go
@@ -48,11 +48,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.asked[kind]++
-	if reply.Right {
+	if reply.Correct {
 		r.served[kind]++
 	}
-	if reply.Wrong != "" {
-		r.wrong = append(r.wrong, reply.Wrong)
+	if reply.Mismatch != "" {
+		r.wrong = append(r.wrong, reply.Mismatch)
 	}
 }
 
--- a/local/fatal_test.go
+++ b/local/fatal_test.go
@@ -47,7 +47,7 @@
 			e = entry(s, c.box(try))
 		}
 		if e.Running() {
-			q := standin.Request{ID: h.id(), Path: c.path, Key: key, Body: fatal, Within: c.within}
+			q := standin.Request{ID: h.id(), Path: c.path, Key: key, Body: fatal, Timeout: c.within}
 			h.add(asked{request: q, box: e.Name(), at: time.Now(), reply: s.Ask(context.Background(), e, q)})
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -149,7 +149,7 @@
 		for _, a := range h.asked {
 			switch {
 			case a.request.Body == fatal:
-			case a.reply.Right:
+			case a.reply.Correct:
 				served++
 			default:
 				failed++
--- a/local/invariant_test.go
+++ b/local/invariant_test.go
@@ -140,8 +140,8 @@
 func TestInvariantOwnResponse(t *testing.T) {
 	prove(t, busy(), func(t reporter, _ *local.System, h *history) {
 		for _, a := range h.asked {
-			if a.reply.Wrong != "" {
-				t.Errorf("%s on %s: %s", a.request.ID, a.request.Path, a.reply.Wrong)
+			if a.reply.Mismatch != "" {
+				t.Errorf("%s on %s: %s", a.request.ID, a.request.Path, a.reply.Mismatch)
 			}
 		}
 	})
@@ -317,8 +317,8 @@
 					t.Errorf("only %d answers came", h.right())
 				}
 				for _, a := range h.asked {
-					if !a.reply.Right && !a.reply.Refused() {
-						t.Errorf("%s on %s by %s ended with %d, %s, %v", a.request.ID, a.request.Path, a.box, a.reply.Status, a.reply.Wrong, a.reply.Err)
+					if !a.reply.Correct && !a.reply.ConnectionRefused() {
+						t.Errorf("%s on %s by %s ended with %d, %s, %v", a.request.ID, a.request.Path, a.box, a.reply.Status, a.reply.Mismatch, a.reply.Err)
 					}
 				}
 			})
@@ -362,7 +362,7 @@
 	ask := func(v int) standin.Reply {
 		return scenario{within: time.Second}.ask(s, h, e, standin.VersionPath(v))
 	}
-	if ask(version).Right {
+	if ask(version).Correct {
 		served[life] = max(served[life], version)
 	}
 	if before := served[life]; before > 0 && before < version && ask(before).Status == 404 && e.Life() == life {
@@ -379,7 +379,7 @@
 		}
 		time.Sleep(bounds().ConfigApply.Std())
 		for _, e := range s.Entries() {
-			if r := (scenario{}).ask(s, h, e, standin.VersionPath(version)); !r.Right {
+			if r := (scenario{}).ask(s, h, e, standin.VersionPath(version)); !r.Correct {
 				h.fault("%s answers %d on the route of version %d after the bound", e.Name(), r.Status, version)
 			}
 		}
--- a/local/limit_test.go
+++ b/local/limit_test.go
@@ -247,7 +247,7 @@
 			}
 			took := a.done.Sub(a.at)
 			switch {
-			case a.reply.Right:
+			case a.reply.Correct:
 				served++
 				if took > atOnce {
 					late++
@@ -257,7 +257,7 @@
 			case took > atOnce:
 				t.Errorf("%s was refused after %v", a.request.ID, took)
 			default:
-				again = append(again, a.reply.Again)
+				again = append(again, a.reply.RetryAfter)
 			}
 		}
 		takes := 4 * perSecond * (limitEnd - bounds().Contact.Std()).Seconds()
--- a/local/rest_test.go
+++ b/local/rest_test.go
@@ -137,8 +137,8 @@
 				continue
 			}
 			refused++
-			if a.reply.Again <= 0 || a.reply.Again > rest+spread {
-				t.Errorf("%s is told to come back in %v", a.request.ID, a.reply.Again)
+			if a.reply.RetryAfter <= 0 || a.reply.RetryAfter > rest+spread {
+				t.Errorf("%s is told to come back in %v", a.request.ID, a.reply.RetryAfter)
 			}
 			if took := a.done.Sub(a.at); took > spread {
 				t.Errorf("%s is refused after %v", a.request.ID, took)
@@ -169,7 +169,7 @@
 				continue
 			}
 			asked++
-			if !a.reply.Right {
+			if !a.reply.Correct {
 				refused++
 			}
 		}
--- a/local/restart_test.go
+++ b/local/restart_test.go
@@ -27,7 +27,7 @@
 				t.Error(err)
 			}
 			time.Sleep(soon)
-			q := standin.Request{ID: fmt.Sprintf("again-%d", i), Path: "/again/x", Key: key, Within: time.Second}
+			q := standin.Request{ID: fmt.Sprintf("again-%d", i), Path: "/again/x", Key: key, Timeout: time.Second}
 			got = append(got, s.Ask(context.Background(), box, q).Status)
 			time.Sleep(time.Second)
 		}
@@ -79,7 +79,7 @@
 			var wg sync.WaitGroup
 			for i := range callers {
 				wg.Go(func() {
-					q := standin.Request{ID: fmt.Sprintf("%s-%d", name, i), Path: "/again/x", Key: key, Within: within}
+					q := standin.Request{ID: fmt.Sprintf("%s-%d", name, i), Path: "/again/x", Key: key, Timeout: within}
 					if got := s.Ask(context.Background(), box, q); got.Status == 0 {
 						t.Errorf("%s: caller %d got no answer: %v", name, i, got.Err)
 					}
--- a/local/restore_test.go
+++ b/local/restore_test.go
@@ -117,7 +117,7 @@
 			h.fault("%d calls to the store of %d boxes", calls, len(s.Entries()))
 		}
 		for _, e := range s.Entries() {
-			if r := (scenario{}).ask(s, h, e, standin.VersionPath(version)); !r.Right {
+			if r := (scenario{}).ask(s, h, e, standin.VersionPath(version)); !r.Correct {
 				h.fault("%s answers %d on the route of version %d after the bound", e.Name(), r.Status, version)
 			}
 			served[e.Life()] = version
@@ -155,7 +155,7 @@
 	time.Sleep(way.away)
 	for _, e := range s.Entries() {
 		before := served[e.Life()]
-		if before > 0 && !(scenario{}).ask(s, h, e, standin.VersionPath(before)).Right {
+		if before > 0 && !(scenario{}).ask(s, h, e, standin.VersionPath(before)).Correct {
 			h.fault("%s served version %d and does not know its route after the restore", e.Name(), before)
 		}
 	}
@@ -275,7 +275,7 @@
 				s.Store.SetFailureMode(standin.Healthy, storeTakes)
 				held := s.Store.Snapshot()
 				e := entry(s, 0)
-				s.Ask(context.Background(), e, standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Within: 2 * time.Second})
+				s.Ask(context.Background(), e, standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Timeout: 2 * time.Second})
 				time.Sleep(2 * time.Second)
 				if len(s.Store.Names("quarantine")) == 0 {
 					h.fault("nothing was kept, so the test shows nothing")
@@ -302,7 +302,7 @@
 				killAll(s)
 				time.Sleep(3 * time.Second)
 				before := len(s.Runs())
-				s.Ask(context.Background(), entry(s, 1), standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Within: 2 * time.Second})
+				s.Ask(context.Background(), entry(s, 1), standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Timeout: 2 * time.Second})
 				for _, r := range s.Runs()[before:] {
 					if r.Body == fatal {
 						h.fault("%s ran it again", r.Target)
--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -106,7 +106,7 @@
 func (h *history) right() int {
 	n := 0
 	for _, a := range h.asked {
-		if a.reply.Right {
+		if a.reply.Correct {
 			n++
 		}
 	}
@@ -251,7 +251,7 @@
 		sc.behave(sys.Group().Target(r))
 	}
 	for _, e := range sys.Entries() {
-		for tries := 0; !sys.Ask(t.Context(), e, standin.Request{ID: "first", Path: "/again/x", Key: key, Within: time.Second}).Right; tries++ {
+		for tries := 0; !sys.Ask(t.Context(), e, standin.Request{ID: "first", Path: "/again/x", Key: key, Timeout: time.Second}).Correct; tries++ {
 			if tries > 100 {
 				t.Fatalf("%s never serves", e.Name())
 			}
@@ -309,7 +309,7 @@
 }
 
 func (sc scenario) ask(sys *local.System, h *history, e *local.EntryBox, path string) standin.Reply {
-	q := standin.Request{ID: h.id(), Path: path, Key: key, Body: "text of " + path, Within: max(sc.within, 4*time.Second)}
+	q := standin.Request{ID: h.id(), Path: path, Key: key, Body: "text of " + path, Timeout: max(sc.within, 4*time.Second)}
 	a := asked{request: q, box: e.Name(), at: time.Now()}
 	a.reply = sys.Ask(context.Background(), e, q)
 	a.done = time.Now()
--- a/local/system.go
+++ b/local/system.go
@@ -216,7 +216,7 @@
 
 // Ask makes a caller's request at the box.
 func (s *System) Ask(ctx context.Context, e *EntryBox, q standin.Request) standin.Reply {
-	return standin.Ask(ctx, s.client, "http://"+e.settings.Callers, q)
+	return standin.Send(ctx, s.client, "http://"+e.settings.Callers, q)
 }
 
 // common is what a process logs to and counts in.
--- a/node/entry_test.go
+++ b/node/entry_test.go
@@ -152,8 +152,8 @@
 	b.rig.ids++
 	id := "q-" + strconv.Itoa(b.rig.ids)
 	b.rig.mu.Unlock()
-	return standin.Ask(context.Background(), b.rig.client, "http://"+b.settings.Callers, standin.Request{
-		ID: id, Path: path, Key: key, Body: "body", Within: patience,
+	return standin.Send(context.Background(), b.rig.client, "http://"+b.settings.Callers, standin.Request{
+		ID: id, Path: path, Key: key, Body: "body", Timeout: patience,
 	})
 }
 
@@ -179,7 +179,7 @@
 
 func (r *rig) serving(b *box) {
 	r.t.Helper()
-	r.until("the box serves", func() bool { return b.ready() && b.ask("/again/x", key).Right })
+	r.until("the box serves", func() bool { return b.ready() && b.ask("/again/x", key).Correct })
 }
 
 func TestAnEntryBoxServesItsCallers(t *testing.T) {
@@ -203,8 +203,8 @@
 	}
 	for _, tc := range tests {
 		got := b.ask(tc.path, tc.key)
-		if got.Status != tc.status || got.Right != (tc.status == http.StatusOK) {
-			t.Errorf("%s: answered %d, right: %v %s %v", tc.name, got.Status, got.Right, got.Wrong, got.Err)
+		if got.Status != tc.status || got.Correct != (tc.status == http.StatusOK) {
+			t.Errorf("%s: answered %d, right: %v %s %v", tc.name, got.Status, got.Correct, got.Mismatch, got.Err)
 		}
 	}
 }
@@ -217,8 +217,8 @@
 	r.store.SetFailureMode(standin.Unavailable, 0)
 	b := r.box("box-1", nil)
 	r.until("the box answers", func() bool { return b.ask("/again/x", key).Status != 0 })
-	if got := b.ask("/again/x", key); b.ready() || got.Status != http.StatusServiceUnavailable || got.Again <= 0 {
-		t.Errorf("without a configuration: ready %v, answered %d, to come again after %v", b.ready(), got.Status, got.Again)
+	if got := b.ask("/again/x", key); b.ready() || got.Status != http.StatusServiceUnavailable || got.RetryAfter <= 0 {
+		t.Errorf("without a configuration: ready %v, answered %d, to come again after %v", b.ready(), got.Status, got.RetryAfter)
 	}
 	r.store.SetFailureMode(standin.Healthy, 0)
 	r.serving(b)
@@ -241,7 +241,7 @@
 	r.serving(second)
 	r.configure(2)
 	r.until("the second box has the next configuration", func() bool {
-		return second.ask(standin.VersionPath(2), key).Right
+		return second.ask(standin.VersionPath(2), key).Correct
 	})
 }
 
@@ -259,7 +259,7 @@
 	})
 	r.put("servers", leaves, x.Object(address, "hall-1", "draining"))
 	r.configure(2)
-	r.until("the box has what came after", func() bool { return b.ask(standin.VersionPath(2), key).Right })
+	r.until("the box has what came after", func() bool { return b.ask(standin.VersionPath(2), key).Correct })
 	quiet := 0
 	r.until("the target is left alone", func() bool { // the two lists are watched apart
 		before := r.runsAt(leaves)
@@ -291,8 +291,8 @@
 	b.stop()
 	r.until("the box says that it leaves", func() bool { return !b.ready() })
 	for range cap(replies) {
-		if got := <-replies; !got.Right {
-			t.Errorf("a stream ended with %d, %s, %v", got.Status, got.Wrong, got.Err)
+		if got := <-replies; !got.Correct {
+			t.Errorf("a stream ended with %d, %s, %v", got.Status, got.Mismatch, got.Err)
 		}
 	}
 }
--- a/soak/asking.go
+++ b/soak/asking.go
@@ -118,7 +118,7 @@
 		}
 	}
 	each(func(p passing, a asked) {
-		if first, ok := passed[p]; a.reply.Right && (!ok || a.to.Before(first)) {
+		if first, ok := passed[p]; a.reply.Correct && (!ok || a.to.Before(first)) {
 			passed[p] = a.to
 		}
 	})
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -52,8 +52,8 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		b := w.boxes[r.IntN(len(w.boxes))]
 		a := asked{box: b.name, life: unknownLife, owner: org.name, from: time.Now()}
-		a.request = standin.Request{ID: fmt.Sprintf("fatal-%d", i), Key: org.key, Path: "/again/fatal", Body: fatalBody, Within: callerPatience}
-		a.reply = standin.Ask(context.Background(), c, "http://"+b.callers, a.request)
+		a.request = standin.Request{ID: fmt.Sprintf("fatal-%d", i), Key: org.key, Path: "/again/fatal", Body: fatalBody, Timeout: callerPatience}
+		a.reply = standin.Send(context.Background(), c, "http://"+b.callers, a.request)
 		a.to = time.Now()
 		w.ledger.add(a)
 		time.Sleep(fatalRest/2 + time.Duration(r.Int64N(int64(fatalRest))))
--- a/soak/ledger.go
+++ b/soak/ledger.go
@@ -139,8 +139,8 @@
 func (l *ledger) checkReply(a asked, broken report) {
 	runs := l.runs[a.request.ID]
 	switch {
-	case a.reply.Wrong != "":
-		broken("own answer", "%s by %s: %s", a.request.ID, a.box, a.reply.Wrong)
+	case a.reply.Mismatch != "":
+		broken("own answer", "%s by %s: %s", a.request.ID, a.box, a.reply.Mismatch)
 	case a.reply.NotRun() && len(runs) > 0:
 		broken("not run", "%s by %s: answered %d, ran at %s", a.request.ID, a.box, a.reply.Status, runs[0].Target)
 	}
@@ -153,7 +153,7 @@
 			broken("keys", "%s by %s: the target saw the organisation %q, key shown: %v", a.request.ID, a.box, r.Organisation, r.KeyForwarded)
 		}
 	}
-	if a.reply.Err == nil || a.reply.Refused() || a.reply.LeftByCaller() {
+	if a.reply.Err == nil || a.reply.ConnectionRefused() || a.reply.TimedOut() {
 		return
 	}
 	for _, s := range l.stops[a.box] {
@@ -167,7 +167,7 @@
 // to come again.
 func checkRefusal(a asked, broken report) {
 	full := a.reply.Status == http.StatusServiceUnavailable || a.reply.Status == http.StatusTooManyRequests
-	if full && a.reply.Again <= 0 {
+	if full && a.reply.RetryAfter <= 0 {
 		broken("come back", "%s by %s: answered %d without saying when to come again", a.request.ID, a.box, a.reply.Status)
 	}
 }
--- a/soak/limited.go
+++ b/soak/limited.go
@@ -128,7 +128,7 @@
 		served := 0
 		var late []time.Time // by all boxes, from when all may know
 		for _, a := range all {
-			if a.from.reply.Right {
+			if a.from.reply.Correct {
 				served++
 			}
 			if a.at.Sub(x.from) >= contact {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -119,7 +119,7 @@
 func (w *world) ask(c *http.Client, r *rand.Rand, id string) {
 	b, org := w.boxes[r.IntN(len(w.boxes))], w.organisations[r.IntN(len(w.organisations))]
 	a := asked{box: b.name, life: b.lives(), owner: org.name}
-	a.request = standin.Request{ID: id, Key: org.key, Within: callerPatience}
+	a.request = standin.Request{ID: id, Key: org.key, Timeout: callerPatience}
 	switch r.IntN(4) {
 	case 0:
 		a.request.Path, a.request.Body, a.once = "/once/x", "body of "+id, true
@@ -132,7 +132,7 @@
 		a.request.Path = standin.VersionPath(a.route) + "x"
 	}
 	a.from = time.Now()
-	a.reply = standin.Ask(context.Background(), c, "http://"+b.callers, a.request)
+	a.reply = standin.Send(context.Background(), c, "http://"+b.callers, a.request)
 	a.to = time.Now()
 	if b.lives() != a.life {
 		a.life = unknownLife
@@ -149,12 +149,12 @@
 	from := end.Add(-judged)
 	for _, a := range w.ledger.asked {
 		rep.Asked++
-		if a.reply.Right {
+		if a.reply.Correct {
 			rep.Served++
 		}
 		if a.from.After(from) {
 			last++
-			if a.reply.Right {
+			if a.reply.Correct {
 				lastServed++
 			}
 		}
