--- a/demo/play.go
+++ b/demo/play.go
@@ -48,8 +48,8 @@
 		total += math.Pow(float64(e+1), -skewOfDemand)
 	}
 	return standin.GroupShape{
-		Name: "g0", Ranks: w.Ranks, Layers: layers, Experts: experts, Places: max(places, experts/w.Ranks+1), Staging: staging,
-		Step: stepTime, Copy: copyTime, Share: workOfExperts,
+		Name: "g0", Ranks: w.Ranks, Layers: layers, Experts: experts, Slots: max(places, experts/w.Ranks+1), Staging: staging,
+		StepTime: stepTime, CopyTime: copyTime, ExpertShare: workOfExperts,
 		Demand: func(at time.Time, layer, expert int) float64 {
 			jumps := int(at.UnixNano() / int64(w.Jump.Duration()))
 			place := order[layer][(expert+jumps%experts*7+experts*7)%experts]
--- a/demo/result.go
+++ b/demo/result.go
@@ -83,7 +83,7 @@
 			dealt[layer][e%s.Ranks] = append(dealt[layer][e%s.Ranks], e)
 		}
 	}
-	shape := rebalance.Shape{Ranks: s.Ranks, Layers: s.Layers, Experts: s.Experts, Slots: s.Places}
+	shape := rebalance.Shape{Ranks: s.Ranks, Layers: s.Layers, Experts: s.Experts, Slots: s.Slots}
 	return rebalance.Planner{Shape: shape}.Plan(dealt, load).SkewBefore, rebalance.SkewLowerBound(shape, load)
 }
 
@@ -120,7 +120,7 @@
 	_ = w.Flush() // a closed terminal ends nothing
 	f := r.figures
 	printf(out, "\nThe group of %d ranks: load of the hottest over that of even ranks %.2f on average over %d steps;\n", r.shape.Ranks, f.Skew, f.Steps)
-	printf(out, "with its first map kept it would be %.2f, and no map can be under %.2f with %d places a rank.\n", r.first, r.bound, r.shape.Places)
+	printf(out, "with its first map kept it would be %.2f, and no map can be under %.2f with %d places a rank.\n", r.first, r.bound, r.shape.Slots)
 	printf(out, "For that %d experts were copied and maps changed (%s); held %v.\n", f.Copies, changes(r.report), f.HeldFor.Round(time.Millisecond))
 }
 
--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -23,8 +23,8 @@
 
 // group is a small group of ranks whose demand jumps every few seconds.
 var group = standin.GroupShape{
-	Name: "g0", Ranks: 3, Layers: 2, Experts: 12, Places: 6, Staging: 2,
-	Step: 30 * time.Millisecond, Copy: 50 * time.Millisecond, Share: 0.85,
+	Name: "g0", Ranks: 3, Layers: 2, Experts: 12, Slots: 6, Staging: 2,
+	StepTime: 30 * time.Millisecond, CopyTime: 50 * time.Millisecond, ExpertShare: 0.85,
 	Demand: func(at time.Time, layer, expert int) float64 {
 		const experts, jump = 12, 3 * time.Second
 		hot := (int(at.UnixNano()/int64(jump)) + layer) % experts
