--- a/demo/result.go
+++ b/demo/result.go
@@ -28,7 +28,7 @@
 	asked   map[string]int
 	wrong   []string // answers that were not the request's own
 	back    int      // callers that were told to come back
-	figures standin.Figures
+	figures standin.Stats
 	first   float64 // skew on the map that a group is formed with
 	bound   float64
 	report  *logs.Report
@@ -60,7 +60,7 @@
 func (r *Result) end(s *local.System, log *lines) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.figures = s.Group().Figures()
+	r.figures = s.Group().Stats()
 	r.first, r.bound = r.skews()
 	log.mu.Lock()
 	defer log.mu.Unlock()
@@ -90,8 +90,8 @@
 // Broken is what must never be: a step on two maps, or an answer that was not the
 // request's own.
 func (r *Result) Broken() error {
-	if r.figures.Broken != "" {
-		return fmt.Errorf("a step was begun on two maps: %s", r.figures.Broken)
+	if r.figures.Violation != "" {
+		return fmt.Errorf("a step was begun on two maps: %s", r.figures.Violation)
 	}
 	if len(r.wrong) > 0 {
 		return fmt.Errorf("%d answers were not their requests' own, the first: %s", len(r.wrong), r.wrong[0])
@@ -121,7 +121,7 @@
 	f := r.figures
 	printf(out, "\nThe group of %d ranks: load of the hottest over that of even ranks %.2f on average over %d steps;\n", r.shape.Ranks, f.Skew, f.Steps)
 	printf(out, "with its first map kept it would be %.2f, and no map can be under %.2f with %d places a rank.\n", r.first, r.bound, r.shape.Slots)
-	printf(out, "For that %d experts were copied and maps changed (%s); held %v.\n", f.Copies, changes(r.report), f.HeldFor.Round(time.Millisecond))
+	printf(out, "For that %d experts were copied and maps changed (%s); held %v.\n", f.Copies, changes(r.report), f.HoldTime.Round(time.Millisecond))
 }
 
 func changes(r *logs.Report) string {
--- a/local/invariant_test.go
+++ b/local/invariant_test.go
@@ -182,9 +182,9 @@
 
 // checkMaps: the group never stepped on two maps, and changed some.
 func checkMaps(t reporter, s *local.System, _ *history) {
-	f := s.Group().Figures()
-	if f.Broken != "" {
-		t.Errorf("%s", f.Broken)
+	f := s.Group().Stats()
+	if f.Violation != "" {
+		t.Errorf("%s", f.Violation)
 	}
 	if f.Copies == 0 {
 		t.Errorf("no map was changed in %d steps, so the run shows nothing", f.Steps)
--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -153,11 +153,11 @@
 	"answers lost":  habit(func(h *standin.Behaviour, on bool) { h.DropResponse = on }),
 	"target breaks": habit(func(h *standin.Behaviour, on bool) { h.BreakAfter = map[bool]int{true: 3}[on] }),
 	"late orders": {
-		func(s *local.System, i int) { s.Group().Delay(i%group.Ranks, 250*time.Millisecond) },
-		func(s *local.System, i int) { s.Group().Delay(i%group.Ranks, 0) }},
+		func(s *local.System, i int) { s.Group().SetOrderDelay(i%group.Ranks, 250*time.Millisecond) },
+		func(s *local.System, i int) { s.Group().SetOrderDelay(i%group.Ranks, 0) }},
 	"slow rank": {
-		func(s *local.System, i int) { s.Group().Slow(i%group.Ranks, 8) },
-		func(s *local.System, i int) { s.Group().Slow(i%group.Ranks, 1) }},
+		func(s *local.System, i int) { s.Group().SetSlowdown(i%group.Ranks, 8) },
+		func(s *local.System, i int) { s.Group().SetSlowdown(i%group.Ranks, 1) }},
 }
 
 func entry(s *local.System, i int) *local.EntryBox { return s.Entries()[i%len(s.Entries())] }
