--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -151,7 +151,7 @@
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].ListAgain() }},
 	"target fails":  habit(func(h *standin.Behaviour, on bool) { h.Fail = on }),
 	"answers lost":  habit(func(h *standin.Behaviour, on bool) { h.DropResponse = on }),
-	"target breaks": habit(func(h *standin.Behaviour, on bool) { h.BreakAfter = map[bool]int{true: 3}[on] }),
+	"target breaks": habit(func(h *standin.Behaviour, on bool) { h.BreakAtEvent = map[bool]int{true: 3}[on] }),
 	"late orders": {
 		func(s *local.System, i int) { s.Group().SetOrderDelay(i%group.Ranks, 250*time.Millisecond) },
 		func(s *local.System, i int) { s.Group().SetOrderDelay(i%group.Ranks, 0) }},
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -52,7 +52,7 @@
 	{"target refuses", target, targetLink(refuses)},
 	{"target fails", target, habit(func(h *standin.Behaviour) { h.Fail = true }, func(h *standin.Behaviour) { h.Fail = false })},
 	{"target full", target, habit(func(h *standin.Behaviour) { h.RejectAll = true }, func(h *standin.Behaviour) { h.RejectAll = false })},
-	{"target breaks off", target, habit(func(h *standin.Behaviour) { h.BreakAfter = 4 }, func(h *standin.Behaviour) { h.BreakAfter = 0 })},
+	{"target breaks off", target, habit(func(h *standin.Behaviour) { h.BreakAtEvent = 4 }, func(h *standin.Behaviour) { h.BreakAtEvent = 0 })},
 	{"target leaves", nothing, leave},
 	{"target leaves", nothing, leave},
 	{"target crashes", target, crash},
