--- a/local/restore_test.go
+++ b/local/restore_test.go
@@ -97,7 +97,7 @@
 		s.Store.SetEraHeader(way.header)
 	}
 	if way.held {
-		s.Store.HangWatchesOnRestore("config")
+		s.Store.HangWatches("config")
 	}
 	served := map[string]int{} // by life of a box
 	if way.alone {
