--- a/demo/faults.go
+++ b/demo/faults.go
@@ -29,14 +29,14 @@
 		func(s *local.System, i int) { link(s, i, local.Silent) },
 		func(s *local.System, i int) { link(s, i, local.Open) }},
 	"rank slow": {"a rank becomes slow",
-		func(s *local.System, i int) { s.Group().Slow(i%len(s.Agents()), slowPace) },
-		func(s *local.System, i int) { s.Group().Slow(i%len(s.Agents()), 1) }},
+		func(s *local.System, i int) { s.Group().SetSlowdown(i%len(s.Agents()), slowPace) },
+		func(s *local.System, i int) { s.Group().SetSlowdown(i%len(s.Agents()), 1) }},
 	"agent dies": {"the agent that coordinates the group dies",
 		func(s *local.System, _ int) { s.Agents()[0].Kill() },
 		func(s *local.System, _ int) { _ = s.Agents()[0].Start() }},
 	"store away": {"the platform's store answers nothing",
-		func(s *local.System, _ int) { s.Store.SetTrouble(standin.Silent, 0) },
-		func(s *local.System, _ int) { s.Store.SetTrouble(standin.Sound, 0) }},
+		func(s *local.System, _ int) { s.Store.SetFailureMode(standin.Unresponsive, 0) },
+		func(s *local.System, _ int) { s.Store.SetFailureMode(standin.Healthy, 0) }},
 	"target fails": {"a target fails what it is asked",
 		func(s *local.System, i int) { failing(s, i, true) },
 		func(s *local.System, i int) { failing(s, i, false) }},
@@ -50,7 +50,7 @@
 }
 
 func failing(s *local.System, i int, fails bool) {
-	s.Targets()[i%len(s.Targets())].Target().Behave(func(h *standin.Habits) { h.Fail = fails })
+	s.Targets()[i%len(s.Targets())].Target().ChangeBehaviour(func(h *standin.Behaviour) { h.Fail = fails })
 }
 
 // happen lets a fault begin and end at its times.
--- a/demo/play.go
+++ b/demo/play.go
@@ -48,8 +48,8 @@
 		total += math.Pow(float64(e+1), -skewOfDemand)
 	}
 	return standin.GroupShape{
-		Name: "g0", Ranks: w.Ranks, Layers: layers, Experts: experts, Places: max(places, experts/w.Ranks+1), Staging: staging,
-		Step: stepTime, Copy: copyTime, Share: workOfExperts,
+		Name: "g0", Ranks: w.Ranks, Layers: layers, Experts: experts, Slots: max(places, experts/w.Ranks+1), Staging: staging,
+		StepTime: stepTime, CopyTime: copyTime, ExpertShare: workOfExperts,
 		Demand: func(at time.Time, layer, expert int) float64 {
 			jumps := int(at.UnixNano() / int64(w.Jump.Duration()))
 			place := order[layer][(expert+jumps%experts*7+experts*7)%experts]
@@ -172,11 +172,11 @@
 // ask makes a request at a box that reports that it is ready, as the platform's balancer would,
 // and once more if the caller is informed when to come back.
 func (w Workload) ask(s *local.System, r *Result, kind string, pick int, id string) {
-	q := standin.Request{ID: id, Path: paths[kind], Key: key, Body: "text", Within: within}
+	q := standin.Request{ID: id, Path: paths[kind], Key: key, Body: "text", Timeout: within}
 	reply := s.Ask(context.Background(), ready(s, pick), q)
-	if reply.NotRun() && reply.Again > 0 {
+	if reply.NotRun() && reply.RetryAfter > 0 {
 		r.cameBack()
-		time.Sleep(reply.Again)
+		time.Sleep(reply.RetryAfter)
 		q.ID += "-again"
 		reply = s.Ask(context.Background(), ready(s, pick+1), q)
 	}
--- a/local/boxes.go
+++ b/local/boxes.go
@@ -171,7 +171,7 @@
 	t.host = t.system.Network.Host(t.hall)
 	t.address = fmt.Sprintf("%s:%d", t.system.Network.ip(), enginePort)
 	t.target = standin.NewTarget(t.id, PlainService, t.system.ran)
-	t.target.Bear(time.Now())
+	t.target.SetBorn(time.Now())
 	t.target.OnCrash(t.crash)
 	if err := t.system.serve(t.host, t.address, t.target); err != nil {
 		return err
@@ -201,11 +201,11 @@
 // remembers nothing, and works as its program did before.
 func (t *TargetBox) StartAgain() error {
 	t.Kill()
-	habits := t.target.Habits()
+	habits := t.target.Behaviour()
 	if err := t.start(); err != nil {
 		return err
 	}
-	t.target.Behave(func(h *standin.Habits) { *h = habits })
+	t.target.ChangeBehaviour(func(h *standin.Behaviour) { *h = habits })
 	return nil
 }
 
--- a/local/rest_test.go
+++ b/local/rest_test.go
@@ -29,7 +29,7 @@
 	return func(s *local.System, _ *history) {
 		set := func(on bool) {
 			for _, x := range targets(s) {
-				x.Behave(func(h *standin.Habits) { h.Full, h.Rest = on, map[bool]time.Duration{true: rest}[on] })
+				x.ChangeBehaviour(func(h *standin.Behaviour) { h.RejectAll, h.Rest = on, map[bool]time.Duration{true: rest}[on] })
 			}
 		}
 		time.Sleep(from)
@@ -69,7 +69,7 @@
 
 // disturbed is the most requests that one box sent a target in a time for which that had asked
 // it for rest, but for its beginning.
-func disturbed(turned []standin.Turned, boxes map[string]string) int {
+func disturbed(turned []standin.Rejection, boxes map[string]string) int {
 	most := 0
 	for _, asked := range turned {
 		n := 0
@@ -108,7 +108,7 @@
 			sc.run(t, func(s *local.System, h *history) {
 				boxes, asks := boxesOf(h), 0
 				for _, x := range tc.targets(s) {
-					turned := x.Turned()
+					turned := x.Rejections()
 					asks += len(turned)
 					if n := disturbed(turned, boxes); n > restMost {
 						t.Errorf("a target had asked a box for %v of rest, and got %d requests from it in that time", rest, n)
@@ -137,8 +137,8 @@
 				continue
 			}
 			refused++
-			if a.reply.Again <= 0 || a.reply.Again > rest+spread {
-				t.Errorf("%s is told to come back in %v", a.request.ID, a.reply.Again)
+			if a.reply.RetryAfter <= 0 || a.reply.RetryAfter > rest+spread {
+				t.Errorf("%s is told to come back in %v", a.request.ID, a.reply.RetryAfter)
 			}
 			if took := a.done.Sub(a.at); took > spread {
 				t.Errorf("%s is refused after %v", a.request.ID, took)
@@ -161,7 +161,7 @@
 	sc.run(t, func(s *local.System, h *history) {
 		turned, start := 0, h.asked[0].at
 		for _, x := range alone(away)(s) {
-			turned += len(x.Turned())
+			turned += len(x.Rejections())
 		}
 		asked, refused := 0, 0
 		for _, a := range h.asked {
@@ -169,7 +169,7 @@
 				continue
 			}
 			asked++
-			if !a.reply.Right {
+			if !a.reply.Correct {
 				refused++
 			}
 		}
@@ -204,7 +204,7 @@
 			sc.seed, sc.troubles, sc.paths, sc.length = 1, tc.also, []string{"/again/x", "/once/x", "/stream/x"}, 14*time.Second
 			sc.operate = func(s *local.System, _ *history) {
 				time.Sleep(3 * time.Second)
-				s.Targets()[0].Target().Behave(func(h *standin.Habits) { h.Leaving = true })
+				s.Targets()[0].Target().ChangeBehaviour(func(h *standin.Behaviour) { h.Leaving = true })
 			}
 			sc.run(t, func(s *local.System, h *history) { checkLeaver(t, s, h, domain.InstanceID(s.Targets()[0].ID())) })
 		})
@@ -230,9 +230,9 @@
 			sc := busy()
 			sc.seed, sc.callers = 1, 0
 			sc.operate = func(s *local.System, h *history) {
-				s.Store.SetTrouble(standin.Silent, 0)
+				s.Store.SetFailureMode(standin.Unresponsive, 0)
 				x := tc.leave(s)
-				x.Behave(func(h *standin.Habits) { h.Leaving = true })
+				x.ChangeBehaviour(func(h *standin.Behaviour) { h.Leaving = true })
 				leaver = x.ID()
 				for range tc.first {
 					sc.ask(s, h, entry(s, 0), tc.path)
--- a/local/restore_test.go
+++ b/local/restore_test.go
@@ -92,12 +92,12 @@
 const storeTakes = 4 * time.Millisecond
 
 func (way restore) operate(s *local.System, h *history) {
-	s.Store.SetTrouble(standin.Sound, storeTakes)
+	s.Store.SetFailureMode(standin.Healthy, storeTakes)
 	if way.header != nil {
 		s.Store.SetEraHeader(way.header)
 	}
 	if way.held {
-		s.Store.HoldWatches("config")
+		s.Store.HangWatches("config")
 	}
 	served := map[string]int{} // by life of a box
 	if way.alone {
@@ -117,7 +117,7 @@
 			h.fault("%d calls to the store of %d boxes", calls, len(s.Entries()))
 		}
 		for _, e := range s.Entries() {
-			if r := (scenario{}).ask(s, h, e, standin.VersionPath(version)); !r.Right {
+			if r := (scenario{}).ask(s, h, e, standin.VersionPath(version)); !r.Correct {
 				h.fault("%s answers %d on the route of version %d after the bound", e.Name(), r.Status, version)
 			}
 			served[e.Life()] = version
@@ -127,7 +127,7 @@
 
 // restore takes a copy of the store, lets it lose versions, and brings the copy back.
 func (way restore) restore(s *local.System, h *history, served map[string]int) {
-	held := s.Store.Copy()
+	held := s.Store.Snapshot()
 	version := 0
 	for range way.lost {
 		version = way.configure(s, h)
@@ -138,7 +138,7 @@
 			served[e.Life()] = version
 		}
 	}
-	s.Store.SetTrouble(standin.Silent, 0)
+	s.Store.SetFailureMode(standin.Unresponsive, 0)
 	time.Sleep(way.away)
 	if way.starts {
 		e := s.Entries()[0]
@@ -151,11 +151,11 @@
 			_ = s.Targets()[0].ListAgain() // an object of the test's own, which the store takes
 		}
 	}
-	s.Store.SetTrouble(standin.Sound, storeTakes)
+	s.Store.SetFailureMode(standin.Healthy, storeTakes)
 	time.Sleep(way.away)
 	for _, e := range s.Entries() {
 		before := served[e.Life()]
-		if before > 0 && !(scenario{}).ask(s, h, e, standin.VersionPath(before)).Right {
+		if before > 0 && !(scenario{}).ask(s, h, e, standin.VersionPath(before)).Correct {
 			h.fault("%s served version %d and does not know its route after the restore", e.Name(), before)
 		}
 	}
@@ -206,23 +206,23 @@
 			sc := busy()
 			sc.paths, sc.length, sc.seed = []string{"/again/x", "/once/x"}, 16*time.Second, 1
 			sc.operate = func(s *local.System, _ *history) {
-				s.Store.SetTrouble(standin.Sound, storeTakes)
+				s.Store.SetFailureMode(standin.Healthy, storeTakes)
 				if tc.cut {
 					s.Network.SetLink(s.Halls()[1], local.StoreHall, local.Refused)
 				}
 				time.Sleep(time.Second)
-				held := s.Store.Copy()
+				held := s.Store.Snapshot()
 				tc.before(s)
 				left = time.Now()
 				time.Sleep(2 * time.Second)
-				s.Store.SetTrouble(standin.Busy, storeTakes)
+				s.Store.SetFailureMode(standin.Unavailable, storeTakes)
 				time.Sleep(time.Second)
 				s.Store.Restore(held)
 				tc.at(s)
 				if !tc.left {
 					left = time.Now()
 				}
-				s.Store.SetTrouble(standin.Sound, storeTakes)
+				s.Store.SetFailureMode(standin.Healthy, storeTakes)
 				restored = time.Now()
 				time.Sleep(time.Second)
 				tc.later(s)
@@ -272,10 +272,10 @@
 			sc := busy()
 			sc.seed, sc.length, sc.paths, sc.fatal = 1, 24*time.Second, []string{"/again/y"}, fatal
 			sc.operate = func(s *local.System, h *history) {
-				s.Store.SetTrouble(standin.Sound, storeTakes)
-				held := s.Store.Copy()
+				s.Store.SetFailureMode(standin.Healthy, storeTakes)
+				held := s.Store.Snapshot()
 				e := entry(s, 0)
-				s.Ask(context.Background(), e, standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Within: 2 * time.Second})
+				s.Ask(context.Background(), e, standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Timeout: 2 * time.Second})
 				time.Sleep(2 * time.Second)
 				if len(s.Store.Names("quarantine")) == 0 {
 					h.fault("nothing was kept, so the test shows nothing")
@@ -302,7 +302,7 @@
 				killAll(s)
 				time.Sleep(3 * time.Second)
 				before := len(s.Runs())
-				s.Ask(context.Background(), entry(s, 1), standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Within: 2 * time.Second})
+				s.Ask(context.Background(), entry(s, 1), standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Timeout: 2 * time.Second})
 				for _, r := range s.Runs()[before:] {
 					if r.Body == fatal {
 						h.fault("%s ran it again", r.Target)
--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -23,8 +23,8 @@
 
 // group is a small group of ranks whose demand jumps every few seconds.
 var group = standin.GroupShape{
-	Name: "g0", Ranks: 3, Layers: 2, Experts: 12, Places: 6, Staging: 2,
-	Step: 30 * time.Millisecond, Copy: 50 * time.Millisecond, Share: 0.85,
+	Name: "g0", Ranks: 3, Layers: 2, Experts: 12, Slots: 6, Staging: 2,
+	StepTime: 30 * time.Millisecond, CopyTime: 50 * time.Millisecond, ExpertShare: 0.85,
 	Demand: func(at time.Time, layer, expert int) float64 {
 		const experts, jump = 12, 3 * time.Second
 		hot := (int(at.UnixNano()/int64(jump)) + layer) % experts
@@ -106,7 +106,7 @@
 func (h *history) right() int {
 	n := 0
 	for _, a := range h.asked {
-		if a.reply.Right {
+		if a.reply.Correct {
 			n++
 		}
 	}
@@ -135,29 +135,29 @@
 	"silence link":  linkTrouble(local.Silent),
 	"cut store":     storeLink(local.Refused),
 	"silence store": storeLink(local.Silent),
-	"store busy":    storeTrouble(standin.Busy, 0),
-	"store silent":  storeTrouble(standin.Silent, 0),
-	"store slow":    storeTrouble(standin.Sound, 300*time.Millisecond),
+	"store busy":    storeTrouble(standin.Unavailable, 0),
+	"store silent":  storeTrouble(standin.Unresponsive, 0),
+	"store slow":    storeTrouble(standin.Healthy, 300*time.Millisecond),
 	"store forgets": {
 		func(s *local.System, _ int) { s.Store.Compact() },
 		func(s *local.System, _ int) { s.Store.Compact() }},
 	"target starts again": {
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].StartAgain() },
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].StartAgain() }},
-	"target full": habit(func(h *standin.Habits, on bool) { h.Full = on }),
+	"target full": habit(func(h *standin.Behaviour, on bool) { h.RejectAll = on }),
 	// As its entry may change for another reason: it is listed anew, and still as ready.
 	"list again": {
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].ListAgain() },
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].ListAgain() }},
-	"target fails":  habit(func(h *standin.Habits, on bool) { h.Fail = on }),
-	"answers lost":  habit(func(h *standin.Habits, on bool) { h.Drop = on }),
-	"target breaks": habit(func(h *standin.Habits, on bool) { h.BreakAt = map[bool]int{true: 3}[on] }),
+	"target fails":  habit(func(h *standin.Behaviour, on bool) { h.Fail = on }),
+	"answers lost":  habit(func(h *standin.Behaviour, on bool) { h.DropResponse = on }),
+	"target breaks": habit(func(h *standin.Behaviour, on bool) { h.BreakAtEvent = map[bool]int{true: 3}[on] }),
 	"late orders": {
-		func(s *local.System, i int) { s.Group().Delay(i%group.Ranks, 250*time.Millisecond) },
-		func(s *local.System, i int) { s.Group().Delay(i%group.Ranks, 0) }},
+		func(s *local.System, i int) { s.Group().SetOrderDelay(i%group.Ranks, 250*time.Millisecond) },
+		func(s *local.System, i int) { s.Group().SetOrderDelay(i%group.Ranks, 0) }},
 	"slow rank": {
-		func(s *local.System, i int) { s.Group().Slow(i%group.Ranks, 8) },
-		func(s *local.System, i int) { s.Group().Slow(i%group.Ranks, 1) }},
+		func(s *local.System, i int) { s.Group().SetSlowdown(i%group.Ranks, 8) },
+		func(s *local.System, i int) { s.Group().SetSlowdown(i%group.Ranks, 1) }},
 }
 
 func entry(s *local.System, i int) *local.EntryBox { return s.Entries()[i%len(s.Entries())] }
@@ -184,16 +184,16 @@
 	}
 }
 
-func storeTrouble(t standin.Trouble, delay time.Duration) turn {
+func storeTrouble(t standin.FailureMode, delay time.Duration) turn {
 	return turn{
-		func(s *local.System, _ int) { s.Store.SetTrouble(t, delay) },
-		func(s *local.System, _ int) { s.Store.SetTrouble(standin.Sound, 0) },
+		func(s *local.System, _ int) { s.Store.SetFailureMode(t, delay) },
+		func(s *local.System, _ int) { s.Store.SetFailureMode(standin.Healthy, 0) },
 	}
 }
 
-func habit(set func(*standin.Habits, bool)) turn {
+func habit(set func(*standin.Behaviour, bool)) turn {
 	turned := func(s *local.System, i int, on bool) {
-		s.Targets()[i%len(s.Targets())].Target().Behave(func(h *standin.Habits) { set(h, on) })
+		s.Targets()[i%len(s.Targets())].Target().ChangeBehaviour(func(h *standin.Behaviour) { set(h, on) })
 	}
 	return turn{
 		func(s *local.System, i int) { turned(s, i, true) },
@@ -251,7 +251,7 @@
 		sc.behave(sys.Group().Target(r))
 	}
 	for _, e := range sys.Entries() {
-		for tries := 0; !sys.Ask(t.Context(), e, standin.Request{ID: "first", Path: "/again/x", Key: key, Within: time.Second}).Right; tries++ {
+		for tries := 0; !sys.Ask(t.Context(), e, standin.Request{ID: "first", Path: "/again/x", Key: key, Timeout: time.Second}).Correct; tries++ {
 			if tries > 100 {
 				t.Fatalf("%s never serves", e.Name())
 			}
@@ -261,14 +261,14 @@
 }
 
 func (sc scenario) behave(x *standin.Target) {
-	x.Behave(func(h *standin.Habits) {
+	x.ChangeBehaviour(func(h *standin.Behaviour) {
 		if sc.events > 0 {
 			h.Events = sc.events
 		}
 		if sc.gap > 0 {
-			h.Gap = sc.gap
+			h.EventGap = sc.gap
 		}
-		h.Fatal, h.Crash = sc.fatal, crashAfter
+		h.CrashBody, h.CrashDelay = sc.fatal, crashAfter
 	})
 }
 
@@ -309,7 +309,7 @@
 }
 
 func (sc scenario) ask(sys *local.System, h *history, e *local.EntryBox, path string) standin.Reply {
-	q := standin.Request{ID: h.id(), Path: path, Key: key, Body: "text of " + path, Within: max(sc.within, 4*time.Second)}
+	q := standin.Request{ID: h.id(), Path: path, Key: key, Body: "text of " + path, Timeout: max(sc.within, 4*time.Second)}
 	a := asked{request: q, box: e.Name(), at: time.Now()}
 	a.reply = sys.Ask(context.Background(), e, q)
 	a.done = time.Now()
--- a/local/system.go
+++ b/local/system.go
@@ -216,7 +216,7 @@
 
 // Ask makes a caller's request at the box.
 func (s *System) Ask(ctx context.Context, e *EntryBox, q standin.Request) standin.Reply {
-	return standin.Ask(ctx, s.client, "http://"+e.settings.Callers, q)
+	return standin.Send(ctx, s.client, "http://"+e.settings.Callers, q)
 }
 
 // common is what a process logs to and counts in.
@@ -242,7 +242,7 @@
 // Close stops everything. The error is of processes that ended by themselves.
 func (s *System) Close() error {
 	s.Network.openAll()
-	s.Store.SetTrouble(standin.Sound, time.Millisecond) // calls that take no time at all could go on for ever
+	s.Store.SetFailureMode(standin.Healthy, time.Millisecond) // calls that take no time at all could go on for ever
 	var stops sync.WaitGroup
 	for _, e := range s.entries {
 		stops.Go(e.Stop)
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -207,7 +207,7 @@
 func rankReport(r platform.Report) *mesh.RankReport {
 	return &mesh.RankReport{
 		Born: r.Born, Group: r.Rank.Group, Rank: r.Rank.Number, Size: r.Rank.Size, State: r.State,
-		Running: r.Running, Waiting: r.Waiting, Slowdown: r.Pace, Leaving: r.Leaving,
+		Running: r.Running, Waiting: r.Waiting, Slowdown: r.Slowdown, Leaving: r.Leaving,
 	}
 }
 
@@ -236,7 +236,7 @@
 		out.ExpertCounts = a.countDeltas.Since(clock.Now(), distribution.Requester{Group: r.Rank.Group, Rank: q.From}, born, counts)
 	}
 	if q.WantExperts {
-		version, holds, err := a.engine.Holds(ctx)
+		version, holds, err := a.engine.CurrentMap(ctx)
 		if err != nil {
 			return nil, err
 		}
--- a/soak/asking.go
+++ b/soak/asking.go
@@ -39,10 +39,10 @@
 func (w *world) askForRest(r *rand.Rand) {
 	_, in := w.host(r)
 	w.ledger.fault(act{name: "target asks for rest", hits: target}, "", time.Now(), time.Now().Add(askFor+slack))
-	in.target.Behave(func(x *standin.Habits) { x.Full, x.Rest = true, askRest })
+	in.target.ChangeBehaviour(func(x *standin.Behaviour) { x.RejectAll, x.Rest = true, askRest })
 	time.Sleep(askFor)
-	in.target.Behave(func(x *standin.Habits) { x.Full, x.Rest = false, 0 })
-	w.ledger.turnedAway(in.target.Turned())
+	in.target.ChangeBehaviour(func(x *standin.Behaviour) { x.RejectAll, x.Rest = false, 0 })
+	w.ledger.turnedAway(in.target.Rejections())
 }
 
 // sayLeaving lets a target report that it is leaving with its answers only, and puts another in its
@@ -53,13 +53,13 @@
 		return
 	}
 	defer h.busy.Unlock()
-	in.target.Behave(func(x *standin.Habits) { x.Leaving = true })
+	in.target.ChangeBehaviour(func(x *standin.Behaviour) { x.Leaving = true })
 	w.ledger.says(in.id)
 	time.Sleep(servesOn)
 	_ = w.replace(h, in) // without it there is one target fewer
 }
 
-func (l *ledger) turnedAway(list []standin.Turned) {
+func (l *ledger) turnedAway(list []standin.Rejection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.turned = append(l.turned, list...)
@@ -118,7 +118,7 @@
 		}
 	}
 	each(func(p passing, a asked) {
-		if first, ok := passed[p]; a.reply.Right && (!ok || a.to.Before(first)) {
+		if first, ok := passed[p]; a.reply.Correct && (!ok || a.to.Before(first)) {
 			passed[p] = a.to
 		}
 	})
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -27,7 +27,7 @@
 
 // crashes makes the target end under requests with fatalBody.
 func (w *world) crashes(h *host, in incarnation) {
-	in.target.Behave(func(x *standin.Habits) { x.Fatal, x.Crash = fatalBody, crashAfter })
+	in.target.ChangeBehaviour(func(x *standin.Behaviour) { x.CrashBody, x.CrashDelay = fatalBody, crashAfter })
 	in.target.OnCrash(func() {
 		in.end()
 		w.ledger.fault(act{name: "target crashed by a request", hits: target}, "", time.Now(), time.Now().Add(backAfter+slack))
@@ -52,8 +52,8 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		b := w.boxes[r.IntN(len(w.boxes))]
 		a := asked{box: b.name, life: unknownLife, owner: org.name, from: time.Now()}
-		a.request = standin.Request{ID: fmt.Sprintf("fatal-%d", i), Key: org.key, Path: "/again/fatal", Body: fatalBody, Within: callerPatience}
-		a.reply = standin.Ask(context.Background(), c, "http://"+b.callers, a.request)
+		a.request = standin.Request{ID: fmt.Sprintf("fatal-%d", i), Key: org.key, Path: "/again/fatal", Body: fatalBody, Timeout: callerPatience}
+		a.reply = standin.Send(context.Background(), c, "http://"+b.callers, a.request)
 		a.to = time.Now()
 		w.ledger.add(a)
 		time.Sleep(fatalRest/2 + time.Duration(r.Int64N(int64(fatalRest))))
--- a/soak/ledger.go
+++ b/soak/ledger.go
@@ -46,7 +46,7 @@
 	stops  map[string][]span    // planned stops, by box
 	left   map[string]time.Time // when the store took that a target leaves
 	config map[int]time.Time    // when the store took a version
-	turned []standin.Turned     // requests that targets turned away which ask for rest
+	turned []standin.Rejection  // requests that targets turned away which ask for rest
 	said   map[string]time.Time // when a target began to say with its answers that it leaves
 	limits []limited            // times in which targets named limits
 	notes  []string             // what was sent in them
@@ -139,8 +139,8 @@
 func (l *ledger) checkReply(a asked, broken report) {
 	runs := l.runs[a.request.ID]
 	switch {
-	case a.reply.Wrong != "":
-		broken("own answer", "%s by %s: %s", a.request.ID, a.box, a.reply.Wrong)
+	case a.reply.Mismatch != "":
+		broken("own answer", "%s by %s: %s", a.request.ID, a.box, a.reply.Mismatch)
 	case a.reply.NotRun() && len(runs) > 0:
 		broken("not run", "%s by %s: answered %d, ran at %s", a.request.ID, a.box, a.reply.Status, runs[0].Target)
 	}
@@ -149,11 +149,11 @@
 		broken("at most once", "%s by %s: ran at %s and %s", a.request.ID, a.box, runs[0].Target, runs[1].Target)
 	}
 	for _, r := range runs {
-		if r.KeyShown || r.Organisation != a.owner {
-			broken("keys", "%s by %s: the target saw the organisation %q, key shown: %v", a.request.ID, a.box, r.Organisation, r.KeyShown)
+		if r.KeyForwarded || r.Organisation != a.owner {
+			broken("keys", "%s by %s: the target saw the organisation %q, key shown: %v", a.request.ID, a.box, r.Organisation, r.KeyForwarded)
 		}
 	}
-	if a.reply.Err == nil || a.reply.Refused() || a.reply.LeftByCaller() {
+	if a.reply.Err == nil || a.reply.ConnectionRefused() || a.reply.TimedOut() {
 		return
 	}
 	for _, s := range l.stops[a.box] {
@@ -167,7 +167,7 @@
 // to come again.
 func checkRefusal(a asked, broken report) {
 	full := a.reply.Status == http.StatusServiceUnavailable || a.reply.Status == http.StatusTooManyRequests
-	if full && a.reply.Again <= 0 {
+	if full && a.reply.RetryAfter <= 0 {
 		broken("come back", "%s by %s: answered %d without saying when to come again", a.request.ID, a.box, a.reply.Status)
 	}
 }
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -36,9 +36,9 @@
 	{"stop", nothing, stopBox},
 	{"stop", nothing, stopBox},
 	{"read settings again", nothing, onBox(syscall.SIGHUP)},
-	{"store busy", store, storeTrouble(standin.Busy, 0)},
-	{"store silent", store, storeTrouble(standin.Silent, 0)},
-	{"store slow", store, storeTrouble(standin.Sound, 200*time.Millisecond)},
+	{"store busy", store, storeTrouble(standin.Unavailable, 0)},
+	{"store silent", store, storeTrouble(standin.Unresponsive, 0)},
+	{"store slow", store, storeTrouble(standin.Healthy, 200*time.Millisecond)},
 	{"store forgets", store, func(w *world, _ *rand.Rand, _ *box, wait func()) { w.store.Compact(); wait() }},
 	{"store link silent", ownStore, storeLink(silent)},
 	{"store link one way", ownStore, storeLink(oneWay)},
@@ -50,9 +50,9 @@
 	{"target's answers are reset", target, targetLink(lostAnswers)},
 	{"target's answers are reset", target, targetLink(lostAnswers)},
 	{"target refuses", target, targetLink(refuses)},
-	{"target fails", target, habit(func(h *standin.Habits) { h.Fail = true }, func(h *standin.Habits) { h.Fail = false })},
-	{"target full", target, habit(func(h *standin.Habits) { h.Full = true }, func(h *standin.Habits) { h.Full = false })},
-	{"target breaks off", target, habit(func(h *standin.Habits) { h.BreakAt = 4 }, func(h *standin.Habits) { h.BreakAt = 0 })},
+	{"target fails", target, habit(func(h *standin.Behaviour) { h.Fail = true }, func(h *standin.Behaviour) { h.Fail = false })},
+	{"target full", target, habit(func(h *standin.Behaviour) { h.RejectAll = true }, func(h *standin.Behaviour) { h.RejectAll = false })},
+	{"target breaks off", target, habit(func(h *standin.Behaviour) { h.BreakAtEvent = 4 }, func(h *standin.Behaviour) { h.BreakAtEvent = 0 })},
 	{"target leaves", nothing, leave},
 	{"target leaves", nothing, leave},
 	{"target crashes", target, crash},
@@ -90,11 +90,11 @@
 	w.ledger.stop(b.name, began, time.Now())
 }
 
-func storeTrouble(t standin.Trouble, delay time.Duration) func(*world, *rand.Rand, *box, func()) {
+func storeTrouble(t standin.FailureMode, delay time.Duration) func(*world, *rand.Rand, *box, func()) {
 	return func(w *world, _ *rand.Rand, _ *box, wait func()) {
-		w.store.SetTrouble(t, delay)
+		w.store.SetFailureMode(t, delay)
 		wait()
-		w.store.SetTrouble(standin.Sound, 0)
+		w.store.SetFailureMode(standin.Healthy, 0)
 	}
 }
 
@@ -117,13 +117,13 @@
 	}
 }
 
-func habit(begin, end func(*standin.Habits)) func(*world, *rand.Rand, *box, func()) {
+func habit(begin, end func(*standin.Behaviour)) func(*world, *rand.Rand, *box, func()) {
 	return func(w *world, r *rand.Rand, _ *box, wait func()) {
 		_, in := w.host(r)
 		t := in.target
-		t.Behave(begin)
+		t.ChangeBehaviour(begin)
 		wait()
-		t.Behave(end)
+		t.ChangeBehaviour(end)
 	}
 }
 
--- a/soak/restoring.go
+++ b/soak/restoring.go
@@ -30,7 +30,7 @@
 func (w *world) restoring(ctx context.Context, until time.Time) {
 	r := rand.New(rand.NewPCG(w.options.Seed, 6))
 	for time.Now().Add(copyAge+awayMost+lapseAfter).Before(until) && ctx.Err() == nil {
-		held := w.store.Copy()
+		held := w.store.Snapshot()
 		for range r.IntN(lostMost) {
 			_ = w.configure() // an error would show as a version that nobody has
 		}
@@ -45,25 +45,25 @@
 		}
 		time.Sleep(lapseAfter - rewrittenWithin)
 		w.lapse()
-		w.store.SetEraHeader(standin.StatedEra)
+		w.store.SetEraHeader(standin.DefaultEraHeader)
 		_ = w.configure() // an error would show as a version that nobody has
 		time.Sleep(time.Duration(r.Int64N(int64(restoredEvery))))
 	}
 }
 
 // restore brings the copy back, and has written again what it lacks.
-func (w *world) restore(r *rand.Rand, held standin.Copy, away time.Duration) {
+func (w *world) restore(r *rand.Rand, held standin.Snapshot, away time.Duration) {
 	now := time.Now()
 	w.ledger.fault(act{name: "store restored from a copy", hits: store}, "", now, now.Add(away+rewrittenWithin+slack))
 	if away > 0 {
-		w.store.SetTrouble([]standin.Trouble{standin.Busy, standin.Silent}[r.IntN(2)], 0)
+		w.store.SetFailureMode([]standin.FailureMode{standin.Unavailable, standin.Unresponsive}[r.IntN(2)], 0)
 		time.Sleep(away)
 	}
 	if r.IntN(4) == 0 {
 		w.store.SetEraHeader(func(uint64) []string { return nil })
 	}
 	w.store.Restore(held)
-	w.store.SetTrouble(standin.Sound, 0)
+	w.store.SetFailureMode(standin.Healthy, 0)
 	time.Sleep(time.Duration(r.Int64N(int64(rewrittenWithin))))
 	w.rewrite()
 }
@@ -71,13 +71,13 @@
 // rewrite writes the newest configuration and the entries of all targets.
 func (w *world) rewrite() {
 	w.configuring.Lock()
-	_ = w.store.PutAgain("config", "main", w.document(w.newest())) // a document of ours, which the store takes
+	_ = w.store.PutIfChanged("config", "main", w.document(w.newest())) // a document of ours, which the store takes
 	w.configuring.Unlock()
 	for _, h := range w.places() {
 		w.mu.Lock()
 		in, state := h.now, h.state
 		w.mu.Unlock()
-		_ = w.store.PutAgain("servers", in.id, in.entry(h, state))
+		_ = w.store.PutIfChanged("servers", in.id, in.entry(h, state))
 	}
 }
 
