--- a/core/domain/instance.go
+++ b/core/domain/instance.go
@@ -9,9 +9,9 @@
 // again may keep it.
 type ListedID string
 
-// Born is when a target's process started, in milliseconds of Unix time by its own report;
+// StartTime is when a target's process started, in milliseconds of Unix time by its own report;
 // 0 if it never stated one. It distinguishes and orders the starts under one ListedID.
-type Born int64
+type StartTime int64
 
 // InstanceID names one start of a target's process: its ListedID and, where it states when
 // it was born, that too. What is reported about an instance never applies to the start after it,
@@ -21,8 +21,8 @@
 // bornMark stands between the two parts.
 const bornMark = "@"
 
-// InstanceOf names the start that was born then under the id.
-func InstanceOf(id ListedID, born Born) (InstanceID, error) {
+// NewInstanceID names the start that was born then under the id.
+func NewInstanceID(id ListedID, born StartTime) (InstanceID, error) {
 	switch {
 	case id == "":
 		return "", invalid("id", "missing")
@@ -37,14 +37,14 @@
 	}
 }
 
-// Listed is the id under which the list has the target.
-func (id InstanceID) Listed() ListedID {
+// ListedID is the id under which the list has the target.
+func (id InstanceID) ListedID() ListedID {
 	listed, _, _ := strings.Cut(string(id), bornMark)
 	return ListedID(listed)
 }
 
-// Born is when the start was; 0 if that is not known.
-func (id InstanceID) Born() Born {
+// StartTime is when the start was; 0 if that is not known.
+func (id InstanceID) StartTime() StartTime {
 	_, text, said := strings.Cut(string(id), bornMark)
 	if !said {
 		return 0
@@ -53,11 +53,11 @@
 	if err != nil {
 		return 0 // not made by InstanceOf, so nothing is known of its start
 	}
-	return Born(n)
+	return StartTime(n)
 }
 
-// Speaks reports whether news of a process that was born then may be of this start.
+// MatchesStart reports whether news of a process that was born then may be of this start.
 // One that does not state it is taken for it, as its id alone shows no more.
-func (id InstanceID) Speaks(born Born) bool {
-	return born == 0 || id.Born() == 0 || born == id.Born()
+func (id InstanceID) MatchesStart(born StartTime) bool {
+	return born == 0 || id.StartTime() == 0 || born == id.StartTime()
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -183,7 +183,7 @@
 	if a.response.Outcome != call.Elsewhere && a.response.Outcome != call.Foreign {
 		a.lease.UpdateStatus(now, a.response) // responses of the two other kinds did not come from the target
 	}
-	if id := a.response.AtFault; id != "" && id != a.lease.Target().ID().Listed() {
+	if id := a.response.AtFault; id != "" && id != a.lease.Target().ID().ListedID() {
 		a.d.g.deps.Fleet.ReportFault(id)
 	}
 	switch a.response.Outcome {
--- a/membership/instances_test.go
+++ b/membership/instances_test.go
@@ -13,8 +13,8 @@
 )
 
 // instance returns the instance of "a" with the birth time; 0 is for an instance without one.
-func instance(born domain.Born) domain.InstanceID {
-	id, err := domain.InstanceOf("a", born)
+func instance(born domain.StartTime) domain.InstanceID {
+	id, err := domain.NewInstanceID("a", born)
 	if err != nil {
 		panic(err) // the id is constant
 	}
@@ -22,7 +22,7 @@
 }
 
 // born returns an update of the instance of "a" with the birth time.
-func born(at domain.Born, state domain.TargetState, rev store.Revision) membership.TargetUpdate {
+func born(at domain.StartTime, state domain.TargetState, rev store.Revision) membership.TargetUpdate {
 	id := instance(at)
 	return membership.TargetUpdate{ID: id, At: pos(rev), Target: target(string(id), state, nil)}
 }
@@ -118,7 +118,7 @@
 func TestInstancesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var history []membership.TargetUpdate
-		at := domain.Born(1)
+		at := domain.StartTime(1)
 		for rev := store.Revision(1); rev <= 12; rev++ {
 			if rapid.IntRange(0, 3).Draw(rt, "again") == 0 {
 				at++
@@ -126,12 +126,12 @@
 			state := rapid.SampledFrom([]domain.TargetState{domain.TargetReady, domain.TargetLeaving}).Draw(rt, "state")
 			history = append(history, born(at, state, rev))
 		}
-		r, latest := newRoster(), domain.Born(0)
+		r, latest := newRoster(), domain.StartTime(0)
 		deliver := func(u membership.TargetUpdate) {
 			r.ApplyUpdate(start, u)
-			latest = max(latest, u.ID.Born())
+			latest = max(latest, u.ID.StartTime())
 			for _, x := range r.Ranked(start, "s") {
-				if x.Target.ID().Born() != latest {
+				if x.Target.ID().StartTime() != latest {
 					rt.Fatalf("uses %s after an update of the instance born at %d", x.Target.ID(), latest)
 				}
 			}
--- a/membership/roster.go
+++ b/membership/roster.go
@@ -161,7 +161,7 @@
 	present := make(map[domain.ListedID]bool, len(list))
 	var applied []TargetUpdate
 	for _, u := range list {
-		present[u.ID.Listed()] = true
+		present[u.ID.ListedID()] = true
 		applied = append(applied, r.ApplyUpdate(now, u)...)
 	}
 	for id, e := range r.entries {
@@ -177,12 +177,12 @@
 // ApplyUpdate applies one change of the list, and returns it if it changed the roster.
 func (r *Roster) ApplyUpdate(now time.Time, u TargetUpdate) []TargetUpdate {
 	r.at, r.newest = store.Later(r.at, u.At), store.Later(r.newest, u.At)
-	e, known := r.entries[u.ID.Listed()]
+	e, known := r.entries[u.ID.ListedID()]
 	if !known {
 		e = &entry{}
-		r.entries[u.ID.Listed()] = e
+		r.entries[u.ID.ListedID()] = e
 	}
-	if u.Target != nil && u.ID.Born() == 0 && e.target.ID().Born() != 0 {
+	if u.Target != nil && u.ID.StartTime() == 0 && e.target.ID().StartTime() != 0 {
 		u.Target, u.Unusable = nil, true // a target that writes its birth time once always writes it
 	}
 	if known && (!e.olderThan(u) || r.outdated(now, e, u)) {
@@ -206,7 +206,7 @@
 // the same instance at a later position. An entry of an earlier instance that reached the store
 // late is ignored.
 func (e *entry) olderThan(u TargetUpdate) bool {
-	born, own := u.ID.Born(), e.target.ID().Born()
+	born, own := u.ID.StartTime(), e.target.ID().StartTime()
 	if u.Target == nil || born == own || !e.removedAt.IsZero() && e.at.After(u.At) {
 		return u.At.After(e.at)
 	}
@@ -215,7 +215,7 @@
 
 // lookup returns the entry of the instance; false if another one is current under its listed id.
 func (r *Roster) lookup(id domain.InstanceID) (*entry, bool) {
-	e, ok := r.entries[id.Listed()]
+	e, ok := r.entries[id.ListedID()]
 	if !ok || e.target.ID() != id {
 		return nil, false
 	}
--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -211,7 +211,7 @@
 // RankReport is how a rank does.
 type RankReport struct {
 	// Born is when the engine's process started; 0 if it does not say.
-	Born    domain.Born      `json:"born,omitempty"`
+	Born    domain.StartTime `json:"born,omitempty"`
 	Group   domain.GroupName `json:"group"`
 	Rank    int              `json:"rank"`
 	Size    int              `json:"size"`
--- a/node/place.go
+++ b/node/place.go
@@ -48,7 +48,7 @@
 		if until := a.RestUntil(); !until.IsZero() {
 			r.RestRequested(p.target.ID(), until)
 		}
-		if a.NoRoom(p.target.ID().Listed()) {
+		if a.NoRoom(p.target.ID().ListedID()) {
 			r.Rejected(now, p.target.ID())
 		}
 	})
--- a/node/telling/picks.go
+++ b/node/telling/picks.go
@@ -30,7 +30,7 @@
 // counted are running counts at a time, of the engine that was born then.
 type counted struct {
 	at     time.Time
-	born   domain.Born
+	born   domain.StartTime
 	counts []uint64
 }
 
@@ -40,7 +40,7 @@
 // Since gives what was chosen since the asker had the counts last; nil if that is
 // not known. An engine that started again counts from zero; its counts may have grown past
 // those of the start before, and then only its birth shows it.
-func (p *Picks) Since(now time.Time, asker Asker, born domain.Born, counts []uint64) *mesh.Picked {
+func (p *Picks) Since(now time.Time, asker Asker, born domain.StartTime, counts []uint64) *mesh.Picked {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.last[asker.Group] == nil {
--- a/node/watching.go
+++ b/node/watching.go
@@ -142,7 +142,7 @@
 		}
 		return err
 	}
-	if !id.Speaks(report.Born) {
+	if !id.MatchesStart(report.Born) {
 		w.otherStart(id, report.Born)
 		return nil
 	}
@@ -161,9 +161,9 @@
 
 // otherStart takes that the engine is not the start that was asked about. A later one has
 // taken its place, and gets work once the list names it; an earlier one reports nothing.
-func (w *watching) otherStart(id domain.InstanceID, born domain.Born) {
+func (w *watching) otherStart(id domain.InstanceID, born domain.StartTime) {
 	w.entry.common.Log.Warn("report of another start of the target, waiting for the list", "target", id, "born", born)
-	if born > id.Born() {
+	if born > id.StartTime() {
 		w.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.Replaced(id) })
 	}
 }
