--- a/core/call/answer.go
+++ b/core/call/answer.go
@@ -46,8 +46,8 @@
 	Running, Waiting, Slots int
 }
 
-// Answer is the head of a target's answer.
-type Answer struct {
+// Response is the head of a target's answer.
+type Response struct {
 	ID      ID // of the request that it answers; empty if it does not say
 	Outcome Outcome
 	Status  int
@@ -64,7 +64,7 @@
 // RestUntil is until when the target wants nothing at all from this box; zero if it does not ask
 // for that. Only the status of one that takes no work now means that; with others, as where an
 // organisation has had its share, the time is for that request.
-func (a Answer) RestUntil() time.Time {
+func (a Response) RestUntil() time.Time {
 	if a.Status != http.StatusServiceUnavailable {
 		return time.Time{}
 	}
@@ -74,7 +74,7 @@
 // NoRoom reports that the target id declined the request for want of room, and did not state for how
 // long: neither for the request's own sake nor for another target's, as a rank does whose group
 // has lost one.
-func (a Answer) NoRoom(id domain.ListedID) bool {
+func (a Response) NoRoom(id domain.ListedID) bool {
 	own := a.AtFault == "" || a.AtFault == id
 	return a.Outcome == Declined && a.Status == http.StatusServiceUnavailable && a.Again.IsZero() && own
 }
--- a/core/call/answer_test.go
+++ b/core/call/answer_test.go
@@ -14,19 +14,19 @@
 	again := time.Date(2026, 5, 31, 6, 24, 3, 0, time.UTC)
 	for _, tc := range []struct {
 		name   string
-		answer call.Answer
+		answer call.Response
 		rests  bool
 		noRoom bool
 	}{
-		{"it is full", call.Answer{Outcome: call.Declined, Status: http.StatusServiceUnavailable}, false, true},
-		{"it is full and names itself", call.Answer{Outcome: call.Declined, Status: http.StatusServiceUnavailable, AtFault: "i-1"}, false, true},
-		{"another is at fault", call.Answer{Outcome: call.Declined, Status: http.StatusServiceUnavailable, AtFault: "i-2"}, false, false},
-		{"it asks for rest", call.Answer{Outcome: call.Declined, Status: http.StatusServiceUnavailable, Again: again}, true, false},
-		{"it has run the request and asks for rest", call.Answer{Outcome: call.Failed, Status: http.StatusServiceUnavailable, Again: again}, true, false},
-		{"the organisation has had its share", call.Answer{Outcome: call.Declined, Status: http.StatusTooManyRequests, Again: again}, false, false},
-		{"the organisation has had its share, it is not said until when", call.Answer{Outcome: call.Declined, Status: http.StatusTooManyRequests}, false, false},
-		{"it failed", call.Answer{Outcome: call.Failed, Status: http.StatusServiceUnavailable}, false, false},
-		{"it served", call.Answer{Outcome: call.Served, Status: http.StatusOK}, false, false},
+		{"it is full", call.Response{Outcome: call.Declined, Status: http.StatusServiceUnavailable}, false, true},
+		{"it is full and names itself", call.Response{Outcome: call.Declined, Status: http.StatusServiceUnavailable, AtFault: "i-1"}, false, true},
+		{"another is at fault", call.Response{Outcome: call.Declined, Status: http.StatusServiceUnavailable, AtFault: "i-2"}, false, false},
+		{"it asks for rest", call.Response{Outcome: call.Declined, Status: http.StatusServiceUnavailable, Again: again}, true, false},
+		{"it has run the request and asks for rest", call.Response{Outcome: call.Failed, Status: http.StatusServiceUnavailable, Again: again}, true, false},
+		{"the organisation has had its share", call.Response{Outcome: call.Declined, Status: http.StatusTooManyRequests, Again: again}, false, false},
+		{"the organisation has had its share, it is not said until when", call.Response{Outcome: call.Declined, Status: http.StatusTooManyRequests}, false, false},
+		{"it failed", call.Response{Outcome: call.Failed, Status: http.StatusServiceUnavailable}, false, false},
+		{"it served", call.Response{Outcome: call.Served, Status: http.StatusOK}, false, false},
 	} {
 		if got := !tc.answer.RestUntil().IsZero(); got != tc.rests {
 			t.Errorf("%s: asks for rest: %v", tc.name, got)
--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -23,8 +23,8 @@
 // TimeOfDay is the time of day at t, as this machine has it now.
 func TimeOfDay(t time.Time) time.Time { return time.Now().Round(0).Add(-Since(t)) }
 
-// Suspended takes that the machine was suspended for so long, and lets timers look again.
-func Suspended(d time.Duration) {
+// AddSuspension takes that the machine was suspended for so long, and lets timers look again.
+func AddSuspension(d time.Duration) {
 	slept.Add(int64(d))
 	for _, t := range timers.all() {
 		t.again()
--- a/core/clock/clock_test.go
+++ b/core/clock/clock_test.go
@@ -34,7 +34,7 @@
 		if woke.Load() || ctx.Err() != nil {
 			t.Fatal("it is over before its time")
 		}
-		clock.Suspended(slept - time.Second)
+		clock.AddSuspension(slept - time.Second)
 		synctest.Wait()
 		if !woke.Load() || !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 			t.Errorf("woke %v, cause %v", woke.Load(), context.Cause(ctx))
@@ -85,13 +85,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			n := 0
-			w := clock.NewWatch(func() (ahead, off time.Duration, err error) {
+			w := clock.NewSuspensionMonitor(func() (ahead, off time.Duration, err error) {
 				r := tc.read[n]
 				n++
 				return r[0], r[1], nil
 			})
 			for i, want := range tc.want {
-				if got, err := w.Look(); got != want || err != nil {
+				if got, err := w.Check(); got != want || err != nil {
 					t.Errorf("look %d: %v, %v, want %v", i, got, err, want)
 				}
 			}
@@ -105,7 +105,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		began, looks := clock.Now(), 0
 		failed := errors.New("no such clock")
-		w := clock.NewWatch(func() (ahead, off time.Duration, err error) {
+		w := clock.NewSuspensionMonitor(func() (ahead, off time.Duration, err error) {
 			looks++
 			switch looks {
 			case 1:
@@ -131,7 +131,7 @@
 
 // TestThisMachineHasTheClocks: a process of the product ends up without a watch otherwise.
 func TestThisMachineHasTheClocks(t *testing.T) {
-	if _, _, err := clock.Machine(); err != nil {
+	if _, _, err := clock.ReadMachineOffset(); err != nil {
 		t.Error(err)
 	}
 }
--- a/core/clock/watch.go
+++ b/core/clock/watch.go
@@ -16,12 +16,12 @@
 	leastSuspension = 50 * time.Millisecond
 )
 
-// Reader reads how far the machine's clock that counts suspensions is ahead of the steady
+// OffsetReader reads how far the machine's clock that counts suspensions is ahead of the steady
 // one, and how far that may be off.
-type Reader func() (ahead, off time.Duration, err error)
+type OffsetReader func() (ahead, off time.Duration, err error)
 
-// Machine reads the clocks of this machine.
-func Machine() (ahead, off time.Duration, err error) {
+// ReadMachineOffset reads the clocks of this machine.
+func ReadMachineOffset() (ahead, off time.Duration, err error) {
 	before, err := read(unix.CLOCK_MONOTONIC)
 	if err != nil {
 		return 0, 0, err
@@ -43,19 +43,19 @@
 	return time.Duration(t.Nano()), err
 }
 
-// Watch finds out that the machine was suspended. One is enough for a process.
-type Watch struct {
-	read  Reader
+// SuspensionMonitor finds out that the machine was suspended. One is enough for a process.
+type SuspensionMonitor struct {
+	read  OffsetReader
 	known time.Duration // how far ahead the other clock was
 	begun bool
 }
 
-// NewWatch returns a watch by the reader.
-func NewWatch(r Reader) *Watch { return &Watch{read: r} }
+// NewSuspensionMonitor returns a watch by the reader.
+func NewSuspensionMonitor(r OffsetReader) *SuspensionMonitor { return &SuspensionMonitor{read: r} }
 
-// Look reports for how long the machine was suspended since the last look; 0 for not at all,
+// Check reports for how long the machine was suspended since the last look; 0 for not at all,
 // and always the first time. A reading that may be far off is passed over.
-func (w *Watch) Look() (time.Duration, error) {
+func (w *SuspensionMonitor) Check() (time.Duration, error) {
 	ahead, off, err := w.read()
 	if err != nil || off > leastSuspension/2 {
 		return 0, err
@@ -74,17 +74,17 @@
 
 // Run looks until ctx ends, and reports each suspension once the times of this package
 // count it. An error is reported once, and ends it: the clocks cannot be read here.
-func (w *Watch) Run(ctx context.Context, told func(d time.Duration, err error)) {
+func (w *SuspensionMonitor) Run(ctx context.Context, told func(d time.Duration, err error)) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	for {
-		d, err := w.Look()
+		d, err := w.Check()
 		if err != nil {
 			told(0, err)
 			return
 		}
 		if d > 0 {
-			Suspended(d)
+			AddSuspension(d)
 			told(d, nil)
 		}
 		select {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -22,7 +22,7 @@
 	lease          Lease
 	try            retry.Try
 	exchange       *transport.Exchange
-	response       call.Answer
+	response       call.Response
 	firstByteTimer *clock.Timer  // cancels the attempt if the response does not begin
 	overdueTimer   *clock.Timer  // reports the target if the response does not begin
 	lastEventsAt   time.Time     // arrival of the last events of the stream
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-func (testCodec) ParseResponse(now time.Time, r *http.Response) call.Answer {
-	a := call.Answer{
+func (testCodec) ParseResponse(now time.Time, r *http.Response) call.Response {
+	a := call.Response{
 		ID: call.ID(r.Header.Get("Id")), Status: r.StatusCode, Outcome: call.Served,
 		Leaving: r.Header.Get("Leaving") != "",
 	}
@@ -217,7 +217,7 @@
 	return !slices.Contains(l.f.unavailable, l.x.name)
 }
 
-func (l *lease) UpdateStatus(now time.Time, a call.Answer) {
+func (l *lease) UpdateStatus(now time.Time, a call.Response) {
 	l.f.mu.Lock()
 	defer l.f.mu.Unlock()
 	if a.Leaving {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,7 +24,7 @@
 	// WriteAttempt writes the fields of an attempt into the headers of a request to a target.
 	WriteAttempt(now time.Time, h http.Header, a call.Attempt)
 	// ParseResponse reads the status and headers of a target's response that arrived now.
-	ParseResponse(now time.Time, r *http.Response) call.Answer
+	ParseResponse(now time.Time, r *http.Response) call.Response
 }
 
 // Query describes a request for which a target is to be chosen.
@@ -54,7 +54,7 @@
 	MaySend(now time.Time) bool
 	// UpdateStatus records what the target reports about itself in a response: its load, whether
 	// it is leaving, for how long it asks to be sent nothing, and its limit.
-	UpdateStatus(now time.Time, a call.Answer)
+	UpdateStatus(now time.Time, a call.Response)
 	// ResponseOverdue records that the response has not begun, long after the time that the
 	// route's objective allows.
 	ResponseOverdue()
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -23,7 +23,7 @@
 		for len(a.requests()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		clock.Suspended(time.Minute)
+		clock.AddSuspension(time.Minute)
 	}()
 	resp, err := r.send(ctx, "/once/")
 	if err != nil {
--- a/node/main.go
+++ b/node/main.go
@@ -62,7 +62,7 @@
 	}()
 	leave, changed := onSignal(p.common)
 	go p.watch(changed)
-	go clock.NewWatch(clock.Machine).Run(context.Background(), p.suspended)
+	go clock.NewSuspensionMonitor(clock.ReadMachineOffset).Run(context.Background(), p.suspended)
 	err = p.process.Run(leave)
 	close(stopped)
 	<-done
--- a/node/place.go
+++ b/node/place.go
@@ -40,7 +40,7 @@
 }
 
 // UpdateStatus implements gateway.Lease.
-func (p *place) UpdateStatus(now time.Time, a call.Answer) {
+func (p *place) UpdateStatus(now time.Time, a call.Response) {
 	p.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
 		if l := a.Load; l != nil {
 			b.Report(now, p.target.ID(), routing.Report{Running: l.Running, Waiting: l.Waiting})
