--- a/core/call/answer.go
+++ b/core/call/answer.go
@@ -18,11 +18,11 @@
 	Failed
 	// Declined: the target did not run the request and never will.
 	Declined
-	// Elsewhere: another instance stands at the address; it did not run it.
-	Elsewhere
-	// Foreign: the answer is not one that a target gives, or belongs to another
+	// WrongInstance: another instance stands at the address; it did not run it.
+	WrongInstance
+	// Unrecognised: the answer is not one that a target gives, or belongs to another
 	// request. It reports nothing.
-	Foreign
+	Unrecognised
 )
 
 // String gives the name of the outcome.
@@ -34,7 +34,7 @@
 		return "failed"
 	case Declined:
 		return "declined"
-	case Elsewhere:
+	case WrongInstance:
 		return "elsewhere"
 	default:
 		return "foreign"
@@ -53,8 +53,8 @@
 	Status  int
 	Load    *Load           // nil if the target does not tell
 	AtFault domain.ListedID // the target that is to blame for a failure, if it says
-	// Again is when the target asks to be sent something again; zero if it does not.
-	Again time.Time
+	// RetryAt is when the target asks to be sent something again; zero if it does not.
+	RetryAt time.Time
 	// Leaving reports whether the target announces that it is leaving. It serves what it has.
 	Leaving bool
 	// Limit is how much the target reports that it takes; nil if that cannot be read.
@@ -68,13 +68,13 @@
 	if a.Status != http.StatusServiceUnavailable {
 		return time.Time{}
 	}
-	return a.Again
+	return a.RetryAt
 }
 
-// NoRoom reports that the target id declined the request for want of room, and did not state for how
+// AtCapacity reports that the target id declined the request for want of room, and did not state for how
 // long: neither for the request's own sake nor for another target's, as a rank does whose group
 // has lost one.
-func (a Response) NoRoom(id domain.ListedID) bool {
+func (a Response) AtCapacity(id domain.ListedID) bool {
 	own := a.AtFault == "" || a.AtFault == id
-	return a.Outcome == Declined && a.Status == http.StatusServiceUnavailable && a.Again.IsZero() && own
+	return a.Outcome == Declined && a.Status == http.StatusServiceUnavailable && a.RetryAt.IsZero() && own
 }
--- a/core/call/answer_test.go
+++ b/core/call/answer_test.go
@@ -21,9 +21,9 @@
 		{"it is full", call.Response{Outcome: call.Declined, Status: http.StatusServiceUnavailable}, false, true},
 		{"it is full and names itself", call.Response{Outcome: call.Declined, Status: http.StatusServiceUnavailable, AtFault: "i-1"}, false, true},
 		{"another is at fault", call.Response{Outcome: call.Declined, Status: http.StatusServiceUnavailable, AtFault: "i-2"}, false, false},
-		{"it asks for rest", call.Response{Outcome: call.Declined, Status: http.StatusServiceUnavailable, Again: again}, true, false},
-		{"it has run the request and asks for rest", call.Response{Outcome: call.Failed, Status: http.StatusServiceUnavailable, Again: again}, true, false},
-		{"the organisation has had its share", call.Response{Outcome: call.Declined, Status: http.StatusTooManyRequests, Again: again}, false, false},
+		{"it asks for rest", call.Response{Outcome: call.Declined, Status: http.StatusServiceUnavailable, RetryAt: again}, true, false},
+		{"it has run the request and asks for rest", call.Response{Outcome: call.Failed, Status: http.StatusServiceUnavailable, RetryAt: again}, true, false},
+		{"the organisation has had its share", call.Response{Outcome: call.Declined, Status: http.StatusTooManyRequests, RetryAt: again}, false, false},
 		{"the organisation has had its share, it is not said until when", call.Response{Outcome: call.Declined, Status: http.StatusTooManyRequests}, false, false},
 		{"it failed", call.Response{Outcome: call.Failed, Status: http.StatusServiceUnavailable}, false, false},
 		{"it served", call.Response{Outcome: call.Served, Status: http.StatusOK}, false, false},
@@ -31,7 +31,7 @@
 		if got := !tc.answer.RestUntil().IsZero(); got != tc.rests {
 			t.Errorf("%s: asks for rest: %v", tc.name, got)
 		}
-		if got := tc.answer.NoRoom("i-1"); got != tc.noRoom {
+		if got := tc.answer.AtCapacity("i-1"); got != tc.noRoom {
 			t.Errorf("%s: has no room: %v", tc.name, got)
 		}
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -180,19 +180,19 @@
 func (a *attempt) handleResponse(ctx context.Context, resp *http.Response) (retry.Outcome, Verdict) {
 	now := clock.Now()
 	a.response = a.d.g.deps.Headers.ParseResponse(now, resp)
-	if a.response.Outcome != call.Elsewhere && a.response.Outcome != call.Foreign {
+	if a.response.Outcome != call.WrongInstance && a.response.Outcome != call.Unrecognised {
 		a.lease.UpdateStatus(now, a.response) // responses of the two other kinds did not come from the target
 	}
 	if id := a.response.AtFault; id != "" && id != a.lease.Target().ID().ListedID() {
 		a.d.g.deps.Fleet.ReportFault(id)
 	}
 	switch a.response.Outcome {
-	case call.Elsewhere:
+	case call.WrongInstance:
 		return retry.Declined{Err: fault.New(fault.StaleIncarnation, "another instance listens at %s", a.lease.Target().Address())}, Replaced
 	case call.Declined:
 		drain(resp)
 		return retry.Declined{Err: fault.New(fault.Overloaded, "the target responded with status %d and did not run the request", resp.StatusCode).RetryAt(a.callerRetryAt(now))}, Full
-	case call.Foreign:
+	case call.Unrecognised:
 		return retry.Lost{Err: errors.New("the response did not come from the target")}, Bad
 	case call.Failed:
 		return a.bufferFailure(ctx, resp)
@@ -232,11 +232,11 @@
 // target accepts requests again.
 func (a *attempt) callerRetryAt(now time.Time) time.Time {
 	if a.response.RestUntil().IsZero() {
-		return a.response.Again
+		return a.response.RetryAt
 	}
 	at := a.d.g.deps.Fleet.AvailableAt(now, a.d.req.service)
 	if at.IsZero() {
-		return a.response.Again
+		return a.response.RetryAt
 	}
 	if soonest := now.Add(otherBoxRetryDelay); at.Before(soonest) {
 		return soonest
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -49,15 +49,15 @@
 		Leaving: r.Header.Get("Leaving") != "",
 	}
 	if rest, err := time.ParseDuration(r.Header.Get("Retry-After") + "s"); err == nil {
-		a.Again = now.Add(rest)
+		a.RetryAt = now.Add(rest)
 	}
 	switch {
 	case r.Header.Get("Not-Run") != "":
 		a.Outcome = call.Declined
 	case r.StatusCode == http.StatusMisdirectedRequest:
-		a.Outcome = call.Elsewhere
+		a.Outcome = call.WrongInstance
 	case r.Header.Get("Signed") == "":
-		a.Outcome = call.Foreign
+		a.Outcome = call.Unrecognised
 	case r.StatusCode >= 500:
 		a.Outcome = call.Failed
 	}
--- a/node/main.go
+++ b/node/main.go
@@ -38,7 +38,7 @@
 type loaded struct {
 	process runner
 	common  telemetry.Common
-	lines   *telemetry.Lines
+	lines   *telemetry.LineWriter
 	watch   func(signal <-chan struct{}) // for changes of the settings file
 	woken   func()                       // called after a suspension of the machine
 }
@@ -117,7 +117,7 @@
 // newLoaded logs to standard output.
 func newLoaded(box string) *loaded {
 	m := telemetry.NewMetrics()
-	lines := telemetry.NewLines(os.Stdout, m, telemetry.LineBytesPerSecond)
+	lines := telemetry.NewLineWriter(os.Stdout, m, telemetry.LineBytesPerSecond)
 	c := telemetry.New(lines, box)
 	c.Metrics = m
 	return &loaded{common: c, lines: lines, woken: func() {}}
--- a/node/place.go
+++ b/node/place.go
@@ -48,7 +48,7 @@
 		if until := a.RestUntil(); !until.IsZero() {
 			r.RestRequested(p.target.ID(), until)
 		}
-		if a.NoRoom(p.target.ID().ListedID()) {
+		if a.AtCapacity(p.target.ID().ListedID()) {
 			r.Rejected(now, p.target.ID())
 		}
 	})
--- a/telemetry/lines.go
+++ b/telemetry/lines.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Lines passes log lines on to a writer without ever making the one who logs wait.
-// Lines that come faster than the bound, or than the writer takes them, are dropped
+// LineWriter passes log lines on to a writer without ever making the one who logs wait.
+// LineWriter that come faster than the bound, or than the writer takes them, are dropped
 // and counted, and a line states how many.
-type Lines struct {
+type LineWriter struct {
 	out     io.Writer
 	metrics *Metrics
 	bound   int // bytes a second
@@ -35,14 +35,14 @@
 	LineBurst = 4
 )
 
-// NewLines returns Lines that write to out at the most so many bytes a second.
+// NewLineWriter returns Lines that write to out at the most so many bytes a second.
 // Flush must be running for them to be written.
-func NewLines(out io.Writer, m *Metrics, bytesPerSecond int) *Lines {
-	return &Lines{out: out, metrics: m, bound: bytesPerSecond, left: bytesPerSecond * LineBurst, wake: make(chan struct{}, 1)}
+func NewLineWriter(out io.Writer, m *Metrics, bytesPerSecond int) *LineWriter {
+	return &LineWriter{out: out, metrics: m, bound: bytesPerSecond, left: bytesPerSecond * LineBurst, wake: make(chan struct{}, 1)}
 }
 
 // Write implements io.Writer for one line. It never blocks and never fails.
-func (l *Lines) Write(line []byte) (int, error) {
+func (l *LineWriter) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	l.refill(time.Now())
 	if len(line) > l.left {
@@ -62,7 +62,7 @@
 
 // refill adds to the allowance what the time since the last call is worth. What
 // waits to be written counts against it, so that a stalled writer bounds memory.
-func (l *Lines) refill(now time.Time) {
+func (l *LineWriter) refill(now time.Time) {
 	most := l.bound*LineBurst - len(l.pending)
 	if !l.filled.IsZero() {
 		l.left += int(now.Sub(l.filled).Seconds() * float64(l.bound))
@@ -78,7 +78,7 @@
 const tellEvery = time.Second
 
 // Run writes what is logged until stop is closed, and then what is left.
-func (l *Lines) Run(stop <-chan struct{}) {
+func (l *LineWriter) Run(stop <-chan struct{}) {
 	for {
 		select {
 		case <-l.wake:
@@ -95,7 +95,7 @@
 }
 
 // Flush writes what is pending now.
-func (l *Lines) Flush() {
+func (l *LineWriter) Flush() {
 	l.mu.Lock()
 	out := l.pending
 	l.pending = nil
--- a/telemetry/lines_test.go
+++ b/telemetry/lines_test.go
@@ -27,7 +27,7 @@
 func TestLinesArriveInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
-		l := telemetry.NewLines(&out, telemetry.NewMetrics(), 1000)
+		l := telemetry.NewLineWriter(&out, telemetry.NewMetrics(), 1000)
 		stop, done := make(chan struct{}), make(chan struct{})
 		go func() {
 			l.Run(stop)
@@ -52,7 +52,7 @@
 		const bound, seconds = 1000, 10
 		var out bytes.Buffer
 		m := telemetry.NewMetrics()
-		l := telemetry.NewLines(&out, m, bound)
+		l := telemetry.NewLineWriter(&out, m, bound)
 		line := strings.Repeat("x", 99) + "\n"
 		for range 100 * seconds {
 			mustPrint(t, l, line)
@@ -77,7 +77,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		out := &stalled{}
 		out.mu.Lock()
-		l := telemetry.NewLines(out, telemetry.NewMetrics(), 1000)
+		l := telemetry.NewLineWriter(out, telemetry.NewMetrics(), 1000)
 		stop, done := make(chan struct{}), make(chan struct{})
 		go func() {
 			l.Run(stop)
@@ -113,7 +113,7 @@
 }
 
 // mustPrint logs a line; lines are dropped without an error.
-func mustPrint(t *testing.T, l *telemetry.Lines, line string) {
+func mustPrint(t *testing.T, l *telemetry.LineWriter, line string) {
 	t.Helper()
 	if _, err := fmt.Fprint(l, line); err != nil {
 		t.Error(err)
@@ -132,7 +132,7 @@
 // writes of whole lines, and none is lost.
 func TestLinesAreWrittenWholeInPiecesThatAPipeTakes(t *testing.T) {
 	out := &writes{}
-	l := telemetry.NewLines(out, telemetry.NewMetrics(), 1<<20)
+	l := telemetry.NewLineWriter(out, telemetry.NewMetrics(), 1<<20)
 	var want []byte
 	for i := range 100 {
 		line := fmt.Appendf(nil, "line %d %s\n", i, strings.Repeat("x", i*7))
