--- a/core/call/request.go
+++ b/core/call/request.go
@@ -10,18 +10,18 @@
 // ID distinguishes one try of a caller from every other.
 type ID string
 
-// Part is a beginning of prompts that several requests may share.
-type Part struct {
+// PromptPrefix is a beginning of prompts that several requests may share.
+type PromptPrefix struct {
 	ID     string
 	Tokens int
 }
 
 // Prompt is what a request for a model states about its size.
 type Prompt struct {
-	Tokens int // of the prompt
-	Most   int // tokens that the answer has at the most
-	Hint   int // the caller's guess of the answer's tokens; 0 if it gave none
-	Parts  []Part
+	Tokens     int // of the prompt
+	MaxTokens  int // tokens that the answer has at the most
+	LengthHint int // the caller's guess of the answer's tokens; 0 if it gave none
+	Prefixes   []PromptPrefix
 }
 
 // Fields are what a Request is made of.
@@ -32,9 +32,9 @@
 	Key      string    // of the organisation; empty if none was sent
 	Deadline time.Time // when the caller stops waiting; zero if it did not say
 	Prompt   *Prompt   // nil for a request that is not for a model
-	// After is the last event that the caller has of an answer that it takes up
+	// LastEventID is the last event that the caller has of an answer that it takes up
 	// again; empty for a new request.
-	After string
+	LastEventID string
 }
 
 // Request is one try of a caller.
@@ -66,8 +66,8 @@
 // Prompt is the size of a request for a model; nil for others.
 func (r Request) Prompt() *Prompt { return r.f.Prompt }
 
-// After is the last event that the caller has; empty for a new request.
-func (r Request) After() string { return r.f.After }
+// LastEventID is the last event that the caller has; empty for a new request.
+func (r Request) LastEventID() string { return r.f.LastEventID }
 
 // Attempt is what a target receives beside the request itself.
 type Attempt struct {
@@ -78,6 +78,6 @@
 	Organisation domain.OrganisationName
 	// Deadline is when the target may stop working on it.
 	Deadline time.Time
-	// After is the last event that the caller already has; empty for none.
-	After string
+	// LastEventID is the last event that the caller already has; empty for none.
+	LastEventID string
 }
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -46,7 +46,7 @@
 func (g *Gateway) serve(ctx context.Context, w http.ResponseWriter, req *inboundRequest) {
 	ctx, cancel := clock.WithDeadline(ctx, req.deadline)
 	defer cancel()
-	d := &delivery{g: g, req: req, w: w, after: req.After(), budget: g.deps.Budget(req.service)}
+	d := &delivery{g: g, req: req, w: w, after: req.LastEventID(), budget: g.deps.Budget(req.service)}
 	rules := retry.Rules{
 		Repeat: req.route.MayRepeat(), Resume: req.route.MayResume(), MaxAttempts: req.route.MaxAttempts(),
 		Deadline: req.deadline, FirstByteTimeout: firstByteTimeoutAims * req.route.LatencyObjective(),
@@ -118,7 +118,7 @@
 func (d *delivery) attemptFields(t domain.Target, resume bool) call.Attempt {
 	a := call.Attempt{Instance: t.ID(), Organisation: d.req.org.Name, Deadline: d.req.deadline}
 	if resume {
-		a.After = d.after
+		a.LastEventID = d.after
 	}
 	return a
 }
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -27,7 +27,7 @@
 type testCodec struct{}
 
 func (testCodec) ParseRequest(now time.Time, r *http.Request) (call.Request, error) {
-	f := call.Fields{ID: call.ID(r.Header.Get("Id")), Host: r.Host, Path: r.URL.Path, Key: r.Header.Get("Key"), After: r.Header.Get("After")}
+	f := call.Fields{ID: call.ID(r.Header.Get("Id")), Host: r.Host, Path: r.URL.Path, Key: r.Header.Get("Key"), LastEventID: r.Header.Get("After")}
 	if left, err := time.ParseDuration(r.Header.Get("Left")); err == nil {
 		f.Deadline = now.Add(left)
 	}
@@ -38,8 +38,8 @@
 	h.Del("Key")
 	h.Set("Instance", string(a.Instance))
 	h.Set("Organisation", string(a.Organisation))
-	if a.After != "" {
-		h.Set("After", a.After)
+	if a.LastEventID != "" {
+		h.Set("After", a.LastEventID)
 	}
 }
 
