--- a/gateway/log.go
+++ b/gateway/log.go
@@ -11,7 +11,7 @@
 
 // logRefused logs and counts a refused request.
 func (g *Gateway) logRefused(req *inboundRequest, err error) {
-	g.deps.Common.Metrics.Refused(fault.KindOf(err))
+	g.deps.Common.Metrics.CountRefusal(fault.KindOf(err))
 	g.deps.Common.Log.Warn("request refused", "request", req.ID(), "digest", req.digest, "route", req.route.Name(), "service", req.service,
 		"organisation", req.org.Name, "config", req.version, "kind", fault.KindOf(err), "err", err, "after", clock.Since(req.arrived))
 }
@@ -23,7 +23,7 @@
 	}
 	if _, again := cmd.(retry.Try); again {
 		reasons := a.d.course.Reasons()
-		g.deps.Common.Metrics.Retried(reasons[len(reasons)-1])
+		g.deps.Common.Metrics.CountRetry(reasons[len(reasons)-1])
 	}
 	attrs := []any{"request", req.ID(), "digest", req.digest, "target", a.lease.Target().ID(), "attempt", a.try.Attempt,
 		"resume", a.try.Resume, "end", describe(end), "target_ended", a.processEnded,
@@ -37,9 +37,9 @@
 	m, kind := g.deps.Common.Metrics, req.route.Kind()
 	m.Count(telemetry.Answers, "ok", 1)
 	m.Observe(telemetry.FirstByte, kind.String(), d.firstByteAt.Sub(req.arrived))
-	m.Observe(telemetry.Held, kind.String(), clock.Since(req.arrived))
+	m.Observe(telemetry.RequestTime, kind.String(), clock.Since(req.arrived))
 	if kind == catalog.Stream {
-		m.Observe(telemetry.Pause, "", d.maxGap)
+		m.Observe(telemetry.StreamPause, "", d.maxGap)
 	}
 	attrs := []any{"request", req.ID(), "digest", req.digest, "route", req.route.Name(), "organisation", req.org.Name,
 		"target", d.tried[len(d.tried)-1], "status", d.status, "attempts", d.course.Attempts(), "events", d.events, "pause", d.maxGap,
@@ -71,7 +71,7 @@
 			"attempts", d.course.Attempts(), "events", d.events, "after", clock.Since(req.arrived))
 		return
 	}
-	g.deps.Common.Metrics.Refused(fault.Cancelled)
+	g.deps.Common.Metrics.CountRefusal(fault.Cancelled)
 	g.deps.Common.Log.Info("caller left", "request", req.ID(), "digest", req.digest, "route", req.route.Name(),
 		"attempts", d.course.Attempts(), "events", d.events, "after", clock.Since(req.arrived))
 }
--- a/telemetry/lines.go
+++ b/telemetry/lines.go
@@ -31,14 +31,14 @@
 	// hundred and fifty lines of usual length, several times what a box logs at the
 	// load of today.
 	LineBytesPerSecond = 48 << 10
-	// LineBurst is how many seconds' worth may come at once.
-	LineBurst = 4
+	// LineBurstSeconds is how many seconds' worth may come at once.
+	LineBurstSeconds = 4
 )
 
 // NewLineWriter returns Lines that write to out at the most so many bytes a second.
 // Flush must be running for them to be written.
 func NewLineWriter(out io.Writer, m *Metrics, bytesPerSecond int) *LineWriter {
-	return &LineWriter{out: out, metrics: m, bound: bytesPerSecond, left: bytesPerSecond * LineBurst, wake: make(chan struct{}, 1)}
+	return &LineWriter{out: out, metrics: m, bound: bytesPerSecond, left: bytesPerSecond * LineBurstSeconds, wake: make(chan struct{}, 1)}
 }
 
 // Write implements io.Writer for one line. It never blocks and never fails.
@@ -63,7 +63,7 @@
 // refill adds to the allowance what the time since the last call is worth. What
 // waits to be written counts against it, so that a stalled writer bounds memory.
 func (l *LineWriter) refill(now time.Time) {
-	most := l.bound*LineBurst - len(l.pending)
+	most := l.bound*LineBurstSeconds - len(l.pending)
 	if !l.filled.IsZero() {
 		l.left += int(now.Sub(l.filled).Seconds() * float64(l.bound))
 	}
--- a/telemetry/lines_test.go
+++ b/telemetry/lines_test.go
@@ -59,7 +59,7 @@
 			time.Sleep(10 * time.Millisecond)
 			l.Flush()
 		}
-		if most := bound * (seconds + telemetry.LineBurst) * 3 / 2; out.Len() > most {
+		if most := bound * (seconds + telemetry.LineBurstSeconds) * 3 / 2; out.Len() > most {
 			t.Errorf("%d bytes in %d s, the bound is %d a second", out.Len(), seconds, bound)
 		}
 		dropped := m.Totals(telemetry.LinesDropped)["full"]
@@ -93,7 +93,7 @@
 		out.mu.Unlock()
 		close(stop)
 		<-done
-		if n := strings.Count(out.String(), "nobody reads"); n == 0 || n > 1000*telemetry.LineBurst/25 {
+		if n := strings.Count(out.String(), "nobody reads"); n == 0 || n > 1000*telemetry.LineBurstSeconds/25 {
 			t.Errorf("%d lines were kept", n)
 		}
 	})
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -40,11 +40,11 @@
 
 // The histograms, in seconds.
 const (
-	FirstByte  Name = "clovertrail_first_byte_seconds"   // reason: the kind of route
-	Held       Name = "clovertrail_request_seconds"      // reason: the kind of route
-	Pause      Name = "clovertrail_stream_pause_seconds" // the longest of a stream; reason: empty
-	StoreCalls Name = "clovertrail_store_call_seconds"   // reason: the call
-	OrderTime  Name = "clovertrail_engine_order_seconds" // reason: the order
+	FirstByte   Name = "clovertrail_first_byte_seconds"   // reason: the kind of route
+	RequestTime Name = "clovertrail_request_seconds"      // reason: the kind of route
+	StreamPause Name = "clovertrail_stream_pause_seconds" // the longest of a stream; reason: empty
+	StoreCalls  Name = "clovertrail_store_call_seconds"   // reason: the call
+	OrderTime   Name = "clovertrail_engine_order_seconds" // reason: the order
 )
 
 // Metrics holds the counters, gauges and histograms of one program.
@@ -76,11 +76,11 @@
 	m.set.GetOrCreateHistogram(series(name, reason)).Update(d.Seconds())
 }
 
-// Refused counts a refusal of the kind.
-func (m *Metrics) Refused(k fault.Kind) { m.Count(Refusals, string(k), 1) }
+// CountRefusal counts a refusal of the kind.
+func (m *Metrics) CountRefusal(k fault.Kind) { m.Count(Refusals, string(k), 1) }
 
-// Retried counts a retry for the reason.
-func (m *Metrics) Retried(k fault.Kind) { m.Count(Retries, string(k), 1) }
+// CountRetry counts a retry for the reason.
+func (m *Metrics) CountRetry(k fault.Kind) { m.Count(Retries, string(k), 1) }
 
 // Write writes everything as a scrape reads it.
 func (m *Metrics) Write(w io.Writer) { m.set.WritePrometheus(w) }
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -14,7 +14,7 @@
 func TestEveryRefusalKindIsCounted(t *testing.T) {
 	m := telemetry.NewMetrics()
 	for _, k := range fault.Kinds() {
-		m.Refused(k)
+		m.CountRefusal(k)
 	}
 	totals := m.Totals(telemetry.Refusals)
 	for _, k := range fault.Kinds() {
