--- a/core/domain/doc.go
+++ b/core/domain/doc.go
@@ -1,8 +1,8 @@
-// Package domain holds the words of the system: the names of things, targets and their
-// places in groups, with the checks that a target makes when it is decoded.
+// Package domain defines the basic types of the system: the names of its objects, targets and
+// their ranks in groups, and the validation of a target when it is decoded.
 //
-// A Target that came out of its constructor is valid; code that receives one does not
-// check it again. Fields are read through accessors.
+// A Target returned by its constructor is valid; code that receives one does not
+// validate it again. Fields are read through accessors.
 //
 // # Usage
 //
--- a/core/domain/name.go
+++ b/core/domain/name.go
@@ -2,22 +2,22 @@
 
 import "clovertrail.dev/core/fault"
 
-// The names by which things are known.
+// The names of the objects of the system.
 type (
-	// ServiceName names a service.
+	// ServiceName identifies a service.
 	ServiceName string
-	// OrganisationName names an organisation.
+	// OrganisationName identifies an organisation.
 	OrganisationName string
-	// GroupName names an expert group.
+	// GroupName identifies an expert-parallel group.
 	GroupName string
-	// HallName names a data hall.
+	// HallName identifies a data hall.
 	HallName string
-	// BoxID names a box, be it an entry box or a target box.
+	// BoxID identifies an entry box or a target box.
 	BoxID string
 )
 
 // Incarnation counts the starts of the process on a box. A restarted or replaced
-// box has a higher one, so that old news can be distinguished from new.
+// box has a higher one, so that outdated messages can be told from current ones.
 type Incarnation uint64
 
 func invalid(field, format string, args ...any) error {
--- a/core/domain/target.go
+++ b/core/domain/target.go
@@ -1,6 +1,6 @@
 package domain
 
-// TargetState is what the platform's list states about a target that stands in it.
+// TargetState is the state of a target in the platform's list.
 type TargetState int
 
 // The states of a listed target.
@@ -9,7 +9,7 @@
 	TargetLeaving
 )
 
-// String gives the name of the state.
+// String returns the name of the state.
 func (s TargetState) String() string {
 	switch s {
 	case TargetReady:
@@ -21,36 +21,36 @@
 	}
 }
 
-// Rank is a target's place in an expert-parallel group.
+// Rank describes the rank of a target in an expert-parallel group.
 type Rank struct {
 	// Group is the name of the group.
 	Group GroupName `json:"group"`
-	// Epoch numbers the formations of the group.
+	// Epoch is incremented each time the group is formed.
 	Epoch uint64 `json:"epoch"`
 	// Number is the rank, from 0.
 	Number int `json:"number"`
-	// Size is how many ranks the group has.
+	// Size is the number of ranks in the group.
 	Size int `json:"size"`
-	// Open reports that all ranks step together, so that the group takes requests.
+	// Open reports whether all ranks step together, so that the group accepts requests.
 	Open bool `json:"open"`
 }
 
 // Target is a target as the platform lists it.
 type Target struct{ f TargetFields }
 
-// TargetFields are what a Target is made of.
+// TargetFields are the fields of a Target.
 type TargetFields struct {
 	ID      InstanceID  `json:"id"`
 	Service ServiceName `json:"service"`
 	Address string      `json:"address"` // host:port
 	Hall    HallName    `json:"hall"`
 	State   TargetState `json:"state"`
-	Slots   int         `json:"slots"` // requests that it runs at once
-	// Rank is nil for a target that stands alone.
+	Slots   int         `json:"slots"` // maximum number of concurrent requests
+	// Rank is nil for a target that belongs to no group.
 	Rank *Rank `json:"rank,omitempty"`
 }
 
-// NewTarget returns a checked target.
+// NewTarget validates the fields and returns the target. A target without slots gets one.
 func NewTarget(f TargetFields) (Target, error) {
 	switch {
 	case f.ID == "":
@@ -60,36 +60,36 @@
 	case f.Address == "":
 		return Target{}, invalid("address", "missing")
 	case f.State != TargetReady && f.State != TargetLeaving:
-		return Target{}, invalid("state", "%d is not a state of a target", f.State)
+		return Target{}, invalid("state", "%d is not a target state", f.State)
 	case f.Slots < 0:
 		return Target{}, invalid("slots", "%d is negative", f.Slots)
 	}
 	if r := f.Rank; r != nil && (r.Number < 0 || r.Number >= r.Size) {
-		return Target{}, invalid("rank", "%d is not one of %d", r.Number, r.Size)
+		return Target{}, invalid("rank", "%d is out of range for a group of %d ranks", r.Number, r.Size)
 	}
 	f.Slots = max(f.Slots, 1)
 	return Target{f: f}, nil
 }
 
-// ID is the instance.
+// ID returns the instance id of the target.
 func (t Target) ID() InstanceID { return t.f.ID }
 
-// Service is the service that it serves.
+// Service returns the service that the target belongs to.
 func (t Target) Service() ServiceName { return t.f.Service }
 
-// Address is host:port at which it takes requests.
+// Address returns the address that accepts requests, as host:port.
 func (t Target) Address() string { return t.f.Address }
 
-// Hall is the data hall in which it stands.
+// Hall returns the data hall of the target.
 func (t Target) Hall() HallName { return t.f.Hall }
 
-// State is what the list states about it.
+// State returns the state of the target in the platform's list.
 func (t Target) State() TargetState { return t.f.State }
 
-// Slots is how many requests it runs at once.
+// Slots returns the maximum number of requests that the target runs concurrently.
 func (t Target) Slots() int { return t.f.Slots }
 
-// Rank is its place in a group; false if it stands alone.
+// Rank returns the rank of the target; false if it belongs to no group.
 func (t Target) Rank() (Rank, bool) {
 	if t.f.Rank == nil {
 		return Rank{}, false
@@ -97,5 +97,5 @@
 	return *t.f.Rank, true
 }
 
-// Fields gives what the target is made of, for passing it on.
+// Fields returns the fields of the target, for encoding.
 func (t Target) Fields() TargetFields { return t.f }
