--- a/core/domain/target.go
+++ b/core/domain/target.go
@@ -25,7 +25,7 @@
 type Rank struct {
 	// Group is the name of the group.
 	Group GroupName `json:"group"`
-	// Epoch is incremented each time the group is formed.
+	// Epoch counts the formations of the group.
 	Epoch uint64 `json:"epoch"`
 	// Number is the rank, from 0.
 	Number int `json:"number"`
--- a/core/fault/fault_test.go
+++ b/core/fault/fault_test.go
@@ -11,8 +11,8 @@
 	"clovertrail.dev/core/fault"
 )
 
-// declaredKinds reads the constants of kind.go, so that a constant without a
-// row is found.
+// declaredKinds returns the string constants of kind.go, which include those without a row
+// in the table.
 func declaredKinds(t *testing.T) map[fault.Kind]bool {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), "kind.go", nil, 0)
@@ -34,7 +34,7 @@
 	declared := declaredKinds(t)
 	for _, k := range fault.Kinds() {
 		if !declared[k] {
-			t.Errorf("table has %q, which is not declared", k)
+			t.Errorf("the table has a row for %q, which is not declared in kind.go", k)
 		}
 		delete(declared, k)
 	}
@@ -43,33 +43,33 @@
 	}
 }
 
-func TestRowsAreCoherent(t *testing.T) {
+func TestStatusMatchesRan(t *testing.T) {
 	for _, k := range fault.Kinds() {
-		a := k.Response()
-		if promises := a.Status() == 429 || a.Status() == 503; promises && a.Ran() != fault.RanNo {
-			t.Errorf("%s: status %d promises that it did not run, ran=%s", k, a.Status(), a.Ran())
+		r := k.Response()
+		if notRun := r.Status() == 429 || r.Status() == 503; notRun && r.Ran() != fault.RanNo {
+			t.Errorf("%s: status %d implies that the request did not run, but ran=%s", k, r.Status(), r.Ran())
 		}
-		if a.Status() < 400 || a.Text() == "" {
-			t.Errorf("%s: status %d, text %q", k, a.Status(), a.Text())
+		if r.Status() < 400 || r.Text() == "" {
+			t.Errorf("%s: got status %d and text %q, want an error status and a text", k, r.Status(), r.Text())
 		}
 	}
 }
 
-func TestUnlistedKindNeverClaimsNotRun(t *testing.T) {
+func TestUnlistedKindDoesNotClaimNotRun(t *testing.T) {
 	if got := fault.Kind("made_up").Response().Ran(); got != fault.RanUnknown {
-		t.Errorf("ran = %s, want unknown", got)
+		t.Errorf("ran = %s, want %s", got, fault.RanUnknown)
 	}
 }
 
 func TestKindOf(t *testing.T) {
 	cause := errors.New("cause")
 	if got := fault.KindOf(fault.Wrap(fault.NoTarget, cause)); got != fault.NoTarget {
-		t.Errorf("KindOf = %s", got)
+		t.Errorf("KindOf of a wrapped error = %s, want %s", got, fault.NoTarget)
 	}
 	if got := fault.KindOf(cause); got != fault.Internal {
-		t.Errorf("KindOf of a plain error = %s", got)
+		t.Errorf("KindOf of a plain error = %s, want %s", got, fault.Internal)
 	}
 	if fault.KindOf(nil) != "" || fault.Wrap(fault.NoTarget, nil) != nil {
-		t.Error("nil must stay nil")
+		t.Error("KindOf(nil) is not empty, or Wrap of a nil cause is not nil")
 	}
 }
--- a/core/fault/kind.go
+++ b/core/fault/kind.go
@@ -1,25 +1,25 @@
-// Package fault holds the one closed list of error kinds of clovertrail and
-// the table that turns a kind into an answer.
+// Package fault defines the closed list of error kinds of clovertrail and the table that
+// maps each kind to an HTTP response.
 //
-// Every refusal that a caller or another process can be given is one [Kind]. The
-// table gives, for each kind, which HTTP status it becomes, whether the request ran
-// and which text the caller reads; the kind is the reason in counters and logs.
-// Nothing else in the project chooses a status or claims that a request did not run.
+// Every refusal that is returned to a caller or another process has one [Kind]. For each
+// kind, the table gives the HTTP status, whether the request ran, and the text for the
+// caller; the kind is the reason in counters and logs. Nothing else in the project chooses
+// a status or claims that a request did not run.
 //
 // # Usage
 //
 //	err := fault.New(fault.NoTarget, "service %s has no target", name).RetryAt(when)
 //	if fault.KindOf(err).Answer().Ran() == fault.RanNo {
-//		// the caller may be informed that it did not run
+//		// the caller may be told that the request did not run
 //	}
 package fault
 
-// Kind is one member of the closed list of error kinds. Its text is the name
-// used in problem answers, logs and counters.
+// Kind is a member of the closed list of error kinds. Its text is the name used in
+// problem+json responses, logs and counters.
 type Kind string
 
-// The kinds. A new one needs a row in the table; TestTableCoversKinds checks
-// that both lists are the same.
+// The kinds. A new kind needs a row in the table; TestTableCoversKinds checks that the
+// constants and the table agree.
 const (
 	BadRequest         Kind = "bad_request"
 	TooLarge           Kind = "too_large"
--- a/core/fault/table.go
+++ b/core/fault/table.go
@@ -2,11 +2,11 @@
 
 import "net/http"
 
-// Ran reports what is known about whether a request ran.
+// Ran states what is known about whether a request ran.
 type Ran string
 
-// The three values of Ran. RanNo is a promise, so it is only in rows whose kind
-// is raised with proof.
+// The values of Ran. RanNo is a guarantee, so only kinds that are raised with proof that
+// the request did not run have it.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
@@ -20,18 +20,20 @@
 	text   string
 }
 
-// Status is the HTTP status that callers and operators receive.
-func (a Response) Status() int { return a.status }
+// Status returns the HTTP status that callers and operators receive.
+func (r Response) Status() int { return r.status }
 
-// Ran reports whether the request ran.
-func (a Response) Ran() Ran { return a.ran }
+// Ran returns what is known about whether the request ran.
+func (r Response) Ran() Ran { return r.ran }
 
-// Text is the sentence shown to the caller.
-func (a Response) Text() string { return a.text }
+// Text returns the message for the caller.
+func (r Response) Text() string { return r.text }
 
-const statusClientClosed = 499 // customary, for a caller that went away
+// statusClientClosed is nginx's non-standard status for a client that closed its connection
+// before the response.
+const statusClientClosed = 499
 
-// table maps each kind to its answer.
+// table maps each kind to its response.
 var table = map[Kind]Response{
 	BadRequest:         {http.StatusBadRequest, RanNo, "The request is not well formed."},
 	TooLarge:           {http.StatusRequestEntityTooLarge, RanNo, "The body is larger than allowed."},
@@ -54,16 +56,16 @@
 	Internal:           {http.StatusInternalServerError, RanUnknown, "An internal fault."},
 }
 
-// Response returns the row of the table for the kind. An unlisted kind answers as
-// Internal, so that a wrong value never claims that a request did not run.
+// Response returns the row of the table for the kind. An unlisted kind has the response of
+// Internal, so that an invalid value never claims that a request did not run.
 func (k Kind) Response() Response {
-	if a, ok := table[k]; ok {
-		return a
+	if r, ok := table[k]; ok {
+		return r
 	}
 	return table[Internal]
 }
 
-// Kinds returns every kind of the table, in no particular order.
+// Kinds returns all kinds of the table, in no particular order.
 func Kinds() []Kind {
 	kinds := make([]Kind, 0, len(table))
 	for k := range table {
