--- a/core/call/doc.go
+++ b/core/call/doc.go
@@ -1,9 +1,9 @@
-// Package call holds what a caller's request and a target's answer state, in the
-// words of clovertrail. An adapter reads them from the wire and writes them to it;
-// the rest of the system never sees the wire's names.
+// Package call defines the contents of callers' requests and targets' responses,
+// independently of their encoding. An adapter translates them from and to the wire; no other
+// package uses the header names of the wire.
 //
 // # Usage
 //
-//	req, err := speech.ParseRequest(httpRequest)
+//	req, err := codec.ParseRequest(httpRequest)
 //	left := req.Deadline().Sub(now)
 package call
--- a/core/call/limit.go
+++ b/core/call/limit.go
@@ -5,26 +5,27 @@
 	"math"
 )
 
-// Limit is what a target states about how many requests it takes from all boxes together.
+// Limit is the request rate that a target accepts from all boxes together.
 type Limit interface{ limit() }
 
-// Unlimited means that the target takes what it is sent.
+// Unlimited means that the target accepts every request.
 type Unlimited struct{}
 
-// Limited means that the target takes so many requests a second, for as long as it reports it.
+// Limited means that the target accepts PerSecond requests a second, until it reports another
+// limit.
 type Limited struct{ PerSecond float64 }
 
-// limitMost is more than any target takes. It keeps a number that was garbled on its way within
-// what can be reckoned with.
-const limitMost = 1e6
+// maxPerSecond is the highest limit, in requests a second; no target accepts more. It keeps a
+// corrupted number in a range that is safe to calculate with.
+const maxPerSecond = 1e6
 
-// NewLimited returns the limit of so many requests a second; false if that is none that a target
-// can mean.
+// NewLimited returns a limit of perSecond requests a second, capped at 1e6; false if perSecond
+// is negative, infinite or not a number.
 func NewLimited(perSecond float64) (Limited, bool) {
 	if !(perSecond >= 0) || math.IsInf(perSecond, 0) {
 		return Limited{}, false
 	}
-	return Limited{PerSecond: min(perSecond, limitMost)}, true
+	return Limited{PerSecond: min(perSecond, maxPerSecond)}, true
 }
 
 func (Unlimited) limit() {}
--- a/core/call/request.go
+++ b/core/call/request.go
@@ -7,40 +7,40 @@
 	"clovertrail.dev/core/fault"
 )
 
-// ID distinguishes one try of a caller from every other.
+// ID identifies one attempt of a caller.
 type ID string
 
-// PromptPrefix is a beginning of prompts that several requests may share.
+// PromptPrefix is a prefix of prompts that several requests may share.
 type PromptPrefix struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is what a request for a model states about its size.
+// Prompt states the size of a request to a model.
 type Prompt struct {
-	Tokens     int // of the prompt
-	MaxTokens  int // tokens that the answer has at the most
-	LengthHint int // the caller's guess of the answer's tokens; 0 if it gave none
+	Tokens     int // length of the prompt
+	MaxTokens  int // maximum length of the response
+	LengthHint int // the caller's estimate of the response's tokens; 0 if it sent none
 	Prefixes   []PromptPrefix
 }
 
-// Fields are what a Request is made of.
+// Fields are the fields of a Request.
 type Fields struct {
 	ID       ID
 	Host     string
 	Path     string
-	Key      string    // of the organisation; empty if none was sent
-	Deadline time.Time // when the caller stops waiting; zero if it did not say
-	Prompt   *Prompt   // nil for a request that is not for a model
-	// LastEventID is the last event that the caller has of an answer that it takes up
-	// again; empty for a new request.
+	Key      string    // API key of the organisation; empty if none was sent
+	Deadline time.Time // time at which the caller stops waiting; zero if it sent none
+	Prompt   *Prompt   // nil for a request that is not to a model
+	// LastEventID is the id of the last event that the caller received of the response that
+	// it resumes; empty for a new request.
 	LastEventID string
 }
 
-// Request is one try of a caller.
+// Request is one attempt of a caller.
 type Request struct{ f Fields }
 
-// NewRequest returns a checked request.
+// NewRequest validates the fields and returns the request.
 func NewRequest(f Fields) (Request, error) {
 	if f.ID == "" {
 		return Request{}, fault.New(fault.BadRequest, "the request has no id").Field("id")
@@ -48,36 +48,37 @@
 	return Request{f: f}, nil
 }
 
-// ID is the caller's name for this try.
+// ID returns the caller's id of this attempt.
 func (r Request) ID() ID { return r.f.ID }
 
-// Host is the host that the caller asked for.
+// Host returns the host that the caller requested.
 func (r Request) Host() string { return r.f.Host }
 
-// Path is the path without the query.
+// Path returns the path without the query.
 func (r Request) Path() string { return r.f.Path }
 
-// Key is the organisation's key, or empty.
+// Key returns the API key of the organisation; empty if none was sent.
 func (r Request) Key() string { return r.f.Key }
 
-// Deadline is when the caller stops waiting; zero if it did not state one.
+// Deadline returns the time at which the caller stops waiting; zero if it sent none.
 func (r Request) Deadline() time.Time { return r.f.Deadline }
 
-// Prompt is the size of a request for a model; nil for others.
+// Prompt returns the size of a request to a model; nil for other requests.
 func (r Request) Prompt() *Prompt { return r.f.Prompt }
 
-// LastEventID is the last event that the caller has; empty for a new request.
+// LastEventID returns the id of the last event that the caller received; empty for a new
+// request.
 func (r Request) LastEventID() string { return r.f.LastEventID }
 
-// Attempt is what a target receives beside the request itself.
+// Attempt holds the data that are sent to a target in addition to the request itself.
 type Attempt struct {
-	// Instance is the start of the target that may run the request; another one at
-	// the same address must not.
+	// Instance is the instance that may run the request; another instance at the same
+	// address must decline it.
 	Instance domain.InstanceID
-	// Organisation is on whose behalf the request is made; empty for none.
+	// Organisation is the organisation that the request belongs to; empty for none.
 	Organisation domain.OrganisationName
-	// Deadline is when the target may stop working on it.
+	// Deadline is the time at which the target may stop working on the request.
 	Deadline time.Time
-	// LastEventID is the last event that the caller already has; empty for none.
+	// LastEventID is the id of the last event that the caller received; empty for none.
 	LastEventID string
 }
--- a/core/fault/kind.go
+++ b/core/fault/kind.go
@@ -10,7 +10,7 @@
 //
 //	err := fault.New(fault.NoTarget, "service %s has no target", name).RetryAt(when)
 //	if fault.KindOf(err).Answer().Ran() == fault.RanNo {
-//		// the caller may be told that the request did not run
+//		// the caller may be informed that the request did not run
 //	}
 package fault
 
