--- a/core/call/digest.go
+++ b/core/call/digest.go
@@ -8,12 +8,11 @@
 	"clovertrail.dev/core/domain"
 )
 
-// Digest identifies the content of a request. All attempts at the same work by the same
-// organisation share it, on every box, whereas each attempt has an ID of its own. Empty for none.
+// Digest identifies the work of a request. Repeated requests of an organisation for the same
+// work have the same digest on every box, whereas each of them has its own ID. Empty for none.
 type Digest string
 
-// digestBytes is the length of a digest. The probability that two requests share a digest by
-// chance is about 2^-64.
+// digestBytes is the length of a digest: among 2^64 requests, about two share a digest by chance.
 const digestBytes = 16
 
 // DigestOf returns the digest of a request with the method, the path with its query, and the body.
--- a/core/call/request.go
+++ b/core/call/request.go
@@ -7,7 +7,7 @@
 	"clovertrail.dev/core/fault"
 )
 
-// ID identifies one attempt of a caller.
+// ID identifies one request of a caller. A caller's retry is a request with another ID.
 type ID string
 
 // PromptPrefix is a prefix of prompts that several requests may share.
@@ -37,7 +37,7 @@
 	LastEventID string
 }
 
-// Request is one attempt of a caller.
+// Request is one request of a caller.
 type Request struct{ f Fields }
 
 // NewRequest validates the fields and returns the request.
@@ -48,7 +48,7 @@
 	return Request{f: f}, nil
 }
 
-// ID returns the caller's id of this attempt.
+// ID returns the id that the caller gave the request.
 func (r Request) ID() ID { return r.f.ID }
 
 // Host returns the host that the caller requested.
--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// slept is how long the machine was suspended so far, in nanoseconds.
-var slept atomic.Int64
+// suspended is the total time that the machine was suspended, in nanoseconds.
+var suspended atomic.Int64
 
-// Now is the time now. Its clock reading counts suspensions; its time of day does not stand
-// for anything (see TimeOfDay).
-func Now() time.Time { return time.Now().Add(time.Duration(slept.Load())) }
+// Now returns the current time. Its monotonic clock reading includes suspensions; its wall clock
+// reading is meaningless (see TimeOfDay).
+func Now() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
 
-// Since is the time that has passed since t.
+// Since returns the time elapsed since t.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until is the time that is left until t.
+// Until returns the time left until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// TimeOfDay is the time of day at t, as this machine has it now.
+// TimeOfDay returns the wall clock time at t, according to the machine's present wall clock.
 func TimeOfDay(t time.Time) time.Time { return time.Now().Round(0).Add(-Since(t)) }
 
-// AddSuspension takes that the machine was suspended for so long, and lets timers look again.
+// AddSuspension adds d to the total time of suspensions and resets all pending timers
+// accordingly.
 func AddSuspension(d time.Duration) {
-	slept.Add(int64(d))
-	for _, t := range timers.all() {
-		t.again()
+	suspended.Add(int64(d))
+	for _, t := range pendingTimers.all() {
+		t.reset()
 	}
 }
 
-// Timer calls a function once its time has come.
+// Timer calls a function at a given time of this package.
 //
 // Lock order: timerSet.mu is never held with mu.
 type Timer struct {
@@ -42,7 +43,7 @@
 	stopped bool
 }
 
-// timerSet is the timers that wait.
+// timerSet is a set of pending timers.
 //
 // Lock order: mu is the only lock.
 type timerSet struct {
@@ -50,7 +51,7 @@
 	set map[*Timer]struct{}
 }
 
-var timers = timerSet{set: map[*Timer]struct{}{}}
+var pendingTimers = timerSet{set: map[*Timer]struct{}{}}
 
 func (s *timerSet) add(t *Timer) {
 	s.mu.Lock()
@@ -74,30 +75,30 @@
 	return list
 }
 
-// AfterFunc calls f, in a goroutine of its own, once the time has come.
+// AfterFunc calls f in its own goroutine at the given time, or at once if that has passed.
 func AfterFunc(at time.Time, f func()) *Timer {
 	t := &Timer{at: at}
-	timers.add(t)
+	pendingTimers.add(t)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.timer = time.AfterFunc(Until(at), func() {
-		timers.remove(t)
+		pendingTimers.remove(t)
 		f()
 	})
 	return t
 }
 
-// Stop keeps the function from being called, if it was not yet.
+// Stop prevents the call of the function, unless it was called already.
 func (t *Timer) Stop() {
-	timers.remove(t)
+	pendingTimers.remove(t)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stopped = true
 	t.timer.Stop()
 }
 
-// again sets the timer anew if it still runs.
-func (t *Timer) again() {
+// reset sets a pending timer to the time left until t.at.
+func (t *Timer) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.stopped && t.timer.Stop() {
@@ -105,7 +106,7 @@
 	}
 }
 
-// SleepUntil waits until the time, or the end of ctx.
+// SleepUntil sleeps until the given time or until ctx ends.
 func SleepUntil(ctx context.Context, at time.Time) {
 	done := make(chan struct{})
 	t := AfterFunc(at, func() { close(done) })
@@ -116,8 +117,8 @@
 	}
 }
 
-// WithDeadline returns a context that ends at the time at the latest; its cause is then
-// context.DeadlineExceeded.
+// WithDeadline returns a context that is cancelled at the given time at the latest. The cause of
+// the cancellation is context.DeadlineExceeded if the deadline passed first.
 func WithDeadline(ctx context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	t := AfterFunc(at, func() { cancel(context.DeadlineExceeded) })
--- a/core/clock/clock_test.go
+++ b/core/clock/clock_test.go
@@ -11,20 +11,21 @@
 	"clovertrail.dev/core/clock"
 )
 
-// TestTimeGoesOnWhileTheMachineIsSuspended: ages grow and deadlines come nearer, and what
-// waited for a time that has passed goes on at once, without a wait of the steady clock.
-func TestTimeGoesOnWhileTheMachineIsSuspended(t *testing.T) {
-	const slept = 8 * time.Second
+// TestSuspensionCountsAsElapsedTime checks that ages grow and deadlines approach by the time of a
+// suspension, and that timers and contexts that expired during it fire at once, without
+// waiting for the monotonic clock.
+func TestSuspensionCountsAsElapsedTime(t *testing.T) {
+	const elapsed = 8 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		began, steady := clock.Now(), time.Now()
-		heard := began
-		due := began.Add(5 * time.Second)
-		later := began.Add(9 * time.Second)
+		start, wallStart := clock.Now(), time.Now()
+		receivedAt := start
+		due := start.Add(5 * time.Second)
+		later := start.Add(9 * time.Second)
 		ctx, cancel := clock.WithDeadline(context.Background(), due)
 		defer cancel()
-		var woke, stopped, early atomic.Bool
-		clock.AfterFunc(due, func() { stopped.Store(true) }).Stop()
-		timer := clock.AfterFunc(later, func() { early.Store(true) })
+		var woke, stoppedFired, laterFired atomic.Bool
+		clock.AfterFunc(due, func() { stoppedFired.Store(true) }).Stop()
+		timer := clock.AfterFunc(later, func() { laterFired.Store(true) })
 		go func() {
 			clock.SleepUntil(context.Background(), due)
 			woke.Store(true)
@@ -32,105 +33,108 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if woke.Load() || ctx.Err() != nil {
-			t.Fatal("it is over before its time")
+			t.Fatal("a sleep or a deadline ended too early")
 		}
-		clock.AddSuspension(slept - time.Second)
+		clock.AddSuspension(elapsed - time.Second)
 		synctest.Wait()
 		if !woke.Load() || !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-			t.Errorf("woke %v, cause %v", woke.Load(), context.Cause(ctx))
+			t.Errorf("after the suspension: sleep ended %v, want true; cause %v, want deadline exceeded", woke.Load(), context.Cause(ctx))
 		}
-		if stopped.Load() || early.Load() {
-			t.Errorf("a stopped timer came: %v; one came early: %v", stopped.Load(), early.Load())
+		if stoppedFired.Load() || laterFired.Load() {
+			t.Errorf("stopped timer fired: %v; later timer fired early: %v", stoppedFired.Load(), laterFired.Load())
 		}
-		if age, left := clock.Since(heard), clock.Until(later); age != slept || left != time.Second {
-			t.Errorf("an age of %v, %v left", age, left)
+		if age, left := clock.Since(receivedAt), clock.Until(later); age != elapsed || left != time.Second {
+			t.Errorf("age %v, want %v; time left %v, want 1s", age, elapsed, left)
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if !early.Load() {
-			t.Error("a timer that was set anew did not come")
+		if !laterFired.Load() {
+			t.Error("the timer that was reset after the suspension did not fire")
 		}
 		timer.Stop()
-		if d := clock.TimeOfDay(began).Sub(steady); d != -(slept - time.Second) {
-			t.Errorf("the time of day of the beginning is off by %v", d) // this test's time of day stood still
+		// The wall clock of synctest does not advance during the simulated suspension, so the
+		// time of day of the start lies before it by the length of the suspension.
+		if d := clock.TimeOfDay(start).Sub(wallStart); d != -(elapsed - time.Second) {
+			t.Errorf("the time of day of the start is off by %v, want %v", d, -(elapsed - time.Second))
 		}
 	})
 }
 
-func TestADeadlineTellsALeavingCallerApart(t *testing.T) {
-	parent, leave := context.WithCancel(context.Background())
+func TestDeadlineKeepsCauseOfParent(t *testing.T) {
+	parent, cancelParent := context.WithCancel(context.Background())
 	ctx, cancel := clock.WithDeadline(parent, clock.Now().Add(time.Hour))
 	defer cancel()
-	leave()
+	cancelParent()
 	if got := context.Cause(ctx); !errors.Is(got, context.Canceled) {
-		t.Errorf("cause %v", got)
+		t.Errorf("cause %v, want %v", got, context.Canceled)
 	}
 }
 
-// TestAWatchFindsSuspensions: of readings that a busy machine spoils none counts, and short
-// ones add up.
-func TestAWatchFindsSuspensions(t *testing.T) {
+// TestMonitorDetectsSuspensions checks that inaccurate readings on a busy machine are ignored, and
+// that short suspensions add up until they count.
+func TestMonitorDetectsSuspensions(t *testing.T) {
 	const ms = time.Millisecond
 	for _, tc := range []struct {
 		name string
-		read [][2]time.Duration // how far ahead, and how far that may be off
+		read [][2]time.Duration // offset and its maximum error
 		want []time.Duration
 	}{
-		{"never", [][2]time.Duration{{7 * time.Hour, 0}, {7 * time.Hour, 0}}, []time.Duration{0, 0}},
-		{"once", [][2]time.Duration{{0, 0}, {3 * time.Second, 0}, {3 * time.Second, 0}}, []time.Duration{0, 3 * time.Second, 0}},
-		{"twice", [][2]time.Duration{{0, 0}, {3 * time.Second, 0}, {4 * time.Second, 0}}, []time.Duration{0, 3 * time.Second, time.Second}},
-		{"a busy machine", [][2]time.Duration{{0, 0}, {80 * ms, 90 * ms}, {0, 0}}, []time.Duration{0, 0, 0}},
-		{"a busy machine at first", [][2]time.Duration{{80 * ms, 90 * ms}, {0, 0}, {60 * ms, 0}}, []time.Duration{0, 0, 60 * ms}},
-		{"short ones", [][2]time.Duration{{0, 0}, {30 * ms, 0}, {60 * ms, 0}}, []time.Duration{0, 0, 60 * ms}},
+		{"no suspension", [][2]time.Duration{{7 * time.Hour, 0}, {7 * time.Hour, 0}}, []time.Duration{0, 0}},
+		{"one suspension", [][2]time.Duration{{0, 0}, {3 * time.Second, 0}, {3 * time.Second, 0}}, []time.Duration{0, 3 * time.Second, 0}},
+		{"two suspensions", [][2]time.Duration{{0, 0}, {3 * time.Second, 0}, {4 * time.Second, 0}}, []time.Duration{0, 3 * time.Second, time.Second}},
+		{"busy machine", [][2]time.Duration{{0, 0}, {80 * ms, 90 * ms}, {0, 0}}, []time.Duration{0, 0, 0}},
+		{"busy machine at the first check", [][2]time.Duration{{80 * ms, 90 * ms}, {0, 0}, {60 * ms, 0}}, []time.Duration{0, 0, 60 * ms}},
+		{"short suspensions", [][2]time.Duration{{0, 0}, {30 * ms, 0}, {60 * ms, 0}}, []time.Duration{0, 0, 60 * ms}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			n := 0
-			w := clock.NewSuspensionMonitor(func() (ahead, off time.Duration, err error) {
+			m := clock.NewSuspensionMonitor(func() (offset, maxError time.Duration, err error) {
 				r := tc.read[n]
 				n++
 				return r[0], r[1], nil
 			})
 			for i, want := range tc.want {
-				if got, err := w.Check(); got != want || err != nil {
-					t.Errorf("look %d: %v, %v, want %v", i, got, err, want)
+				if got, err := m.Check(); got != want || err != nil {
+					t.Errorf("check %d: %v, %v, want %v", i, got, err, want)
 				}
 			}
 		})
 	}
 }
 
-// TestAWatchRunsUntilItsClocksFail: what it finds counts in the times of this package before
-// it tells of.
-func TestAWatchRunsUntilItsClocksFail(t *testing.T) {
+// TestMonitorRunsUntilClockError checks that Run adds a suspension to the times of this package
+// before it reports it, and that it returns on the first error of the clocks.
+func TestMonitorRunsUntilClockError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began, looks := clock.Now(), 0
-		failed := errors.New("no such clock")
-		w := clock.NewSuspensionMonitor(func() (ahead, off time.Duration, err error) {
-			looks++
-			switch looks {
+		start, checks := clock.Now(), 0
+		errClock := errors.New("no such clock")
+		m := clock.NewSuspensionMonitor(func() (offset, maxError time.Duration, err error) {
+			checks++
+			switch checks {
 			case 1:
 				return 0, 0, nil
 			case 2:
 				return 5 * time.Second, 0, nil
 			default:
-				return 0, 0, failed
+				return 0, 0, errClock
 			}
 		})
-		var told []error
-		w.Run(context.Background(), func(d time.Duration, err error) {
-			told = append(told, err)
-			if err == nil && (d != 5*time.Second || clock.Since(began) < d) {
-				t.Errorf("told of %v after %v", d, clock.Since(began))
+		var reported []error
+		m.Run(context.Background(), func(d time.Duration, err error) {
+			reported = append(reported, err)
+			if err == nil && (d != 5*time.Second || clock.Since(start) < d) {
+				t.Errorf("reported a suspension of %v with %v elapsed, want 5s with at least that elapsed", d, clock.Since(start))
 			}
 		})
-		if len(told) != 2 || told[0] != nil || !errors.Is(told[1], failed) {
-			t.Errorf("told %v", told)
+		if len(reported) != 2 || reported[0] != nil || !errors.Is(reported[1], errClock) {
+			t.Errorf("reported %v, want one suspension and one error", reported)
 		}
 	})
 }
 
-// TestThisMachineHasTheClocks: a process of the product ends up without a watch otherwise.
-func TestThisMachineHasTheClocks(t *testing.T) {
+// TestReadMachineOffset checks that the clocks of this machine can be read; without them,
+// suspensions go undetected.
+func TestReadMachineOffset(t *testing.T) {
 	if _, _, err := clock.ReadMachineOffset(); err != nil {
 		t.Error(err)
 	}
