--- a/telemetry/common.go
+++ b/telemetry/common.go
@@ -5,19 +5,18 @@
 	"log/slog"
 )
 
-// Common is what every part of a program is handed by its constructor.
+// Common holds the logger and the metrics that the constructors of a program's parts receive.
 type Common struct {
-	// Log writes one line an event.
-	Log *slog.Logger
-	// Metrics counts.
+	// Log writes one line for each event.
+	Log     *slog.Logger
 	Metrics *Metrics
 }
 
-// New returns the common parts of the program on the box, logging to w.
+// New returns a logger that writes to w, with the box in each line, and new metrics.
 func New(w io.Writer, box string) Common {
 	log := slog.New(slog.NewTextHandler(w, nil)).With("box", box)
 	return Common{Log: log, Metrics: NewMetrics()}
 }
 
-// Quiet returns common parts that log nothing, for tests and examples.
+// Quiet returns a Common that discards its log, for tests and examples.
 func Quiet() Common { return New(io.Discard, "test") }
--- a/telemetry/doc.go
+++ b/telemetry/doc.go
@@ -1,12 +1,12 @@
-// Package telemetry gives the programs their logs and metrics.
+// Package telemetry provides logging and metrics for the programs.
 //
-// Logs are one line of key=value pairs for each event. Metrics are counters, gauges and
-// histograms, served for scraping; each refusal kind and each retry reason is counted by itself.
+// A log has one line of key=value pairs for each event. Metrics are counters, gauges and
+// histograms, served for scraping; refusals and retries are counted for each kind or reason.
 //
 // # Usage
 //
 //	c := telemetry.New(os.Stdout, "entry-1")
 //	c.Log.Info("started", "callers", addr)
-//	c.Metrics.Refused(fault.Overloaded)
+//	c.Metrics.CountRefusal(fault.Overloaded)
 //	http.Handle("/metrics", c.Metrics.Handler())
 package telemetry
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -12,48 +12,49 @@
 	"clovertrail.dev/core/fault"
 )
 
-// Name names a counter, gauge or histogram; its one label is listed beside it.
+// Name is the name of a counter, gauge or histogram. Each has a single label, reason; the comments
+// below list its values.
 type Name string
 
 // The counters.
 const (
 	Refusals      Name = "clovertrail_refusals_total"          // reason: the fault.Kind
 	Retries       Name = "clovertrail_retries_total"           // reason: the fault.Kind
-	Answers       Name = "clovertrail_answers_total"           // reason: ok, broken, cut by the stop
-	Ejections     Name = "clovertrail_ejections_total"         // reason: failure reports
-	PlatformCalls Name = "clovertrail_platform_calls_total"    // reason: the call and its end
-	ConfigApplied Name = "clovertrail_config_applied_total"    // reason: store, or the peer
-	MapSwitches   Name = "clovertrail_map_switches_total"      // reason: how the change ended
+	Answers       Name = "clovertrail_answers_total"           // reason: "ok", "broken", "cut by the stop" (a planned stop of the box)
+	Ejections     Name = "clovertrail_ejections_total"         // reason: "failure reports"
+	PlatformCalls Name = "clovertrail_platform_calls_total"    // reason: the call, followed by " failed" if it failed
+	ConfigApplied Name = "clovertrail_config_applied_total"    // reason: "store", or the peer that sent it
+	MapSwitches   Name = "clovertrail_map_switches_total"      // reason: the outcome of the change
 	MovedExperts  Name = "clovertrail_experts_moved_total"     // reason: the group
-	Quarantines   Name = "clovertrail_quarantines_total"       // reason: own, peer, store; released
-	Permits       Name = "clovertrail_permits_total"           // reason: issuer, own part; none for asking in vain
+	Quarantines   Name = "clovertrail_quarantines_total"       // reason: source ("own", "peer", "store") or "released"
+	Permits       Name = "clovertrail_permits_total"           // reason: "issuer", "own part" (fallback share), "none" (request without success)
 	Suspensions   Name = "clovertrail_suspended_seconds_total" // reason: empty; whole seconds, rounded up
-	LinesDropped  Name = "clovertrail_log_lines_dropped_total" // reason: full
+	LinesDropped  Name = "clovertrail_log_lines_dropped_total" // reason: "full"
 )
 
 // The gauges.
 const (
 	ConfigSeq Name = "clovertrail_config_seq"     // reason: empty
 	StoreEra  Name = "clovertrail_store_era"      // reason: empty
-	StepSkew  Name = "clovertrail_step_time_skew" // reason: the group; max over mean
+	StepSkew  Name = "clovertrail_step_time_skew" // reason: the group; maximum step time over mean
 )
 
 // The histograms, in seconds.
 const (
 	FirstByte   Name = "clovertrail_first_byte_seconds"   // reason: the kind of route
 	RequestTime Name = "clovertrail_request_seconds"      // reason: the kind of route
-	StreamPause Name = "clovertrail_stream_pause_seconds" // the longest of a stream; reason: empty
+	StreamPause Name = "clovertrail_stream_pause_seconds" // longest pause of a stream; reason: empty
 	StoreCalls  Name = "clovertrail_store_call_seconds"   // reason: the call
 	OrderTime   Name = "clovertrail_engine_order_seconds" // reason: the order
 )
 
-// Metrics holds the counters, gauges and histograms of one program.
+// Metrics holds the counters, gauges and histograms of a process.
 type Metrics struct{ set *metrics.Set }
 
-// NewMetrics returns metrics with a registry of their own.
+// NewMetrics returns empty metrics with their own registry.
 func NewMetrics() *Metrics { return &Metrics{set: metrics.NewSet()} }
 
-// series is the name with its label, as it stands in a scrape.
+// series returns the name with its label in the Prometheus text format.
 func series(name Name, reason string) string {
 	if reason == "" {
 		return string(name)
@@ -71,18 +72,18 @@
 	m.set.GetOrCreateGauge(series(name, reason), nil).Set(v)
 }
 
-// Observe adds a time to the histogram for the reason.
+// Observe adds d to the histogram for the reason.
 func (m *Metrics) Observe(name Name, reason string, d time.Duration) {
 	m.set.GetOrCreateHistogram(series(name, reason)).Update(d.Seconds())
 }
 
-// CountRefusal counts a refusal of the kind.
+// CountRefusal increments the counter of refusals for the kind.
 func (m *Metrics) CountRefusal(k fault.Kind) { m.Count(Refusals, string(k), 1) }
 
-// CountRetry counts a retry for the reason.
+// CountRetry increments the counter of retries for the kind of the failure.
 func (m *Metrics) CountRetry(k fault.Kind) { m.Count(Retries, string(k), 1) }
 
-// Write writes everything as a scrape reads it.
+// Write writes all metrics in the Prometheus text format.
 func (m *Metrics) Write(w io.Writer) { m.set.WritePrometheus(w) }
 
 // Handler serves the metrics for scraping.
@@ -93,7 +94,7 @@
 	})
 }
 
-// Totals returns the values of the counter by reason.
+// Totals returns the values of a counter by reason.
 func (m *Metrics) Totals(name Name) map[string]float64 {
 	totals := map[string]float64{}
 	for _, full := range m.set.ListMetricNames() {
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -11,7 +11,7 @@
 	"clovertrail.dev/telemetry"
 )
 
-func TestEveryRefusalKindIsCounted(t *testing.T) {
+func TestMetricsCountEachRefusalKind(t *testing.T) {
 	m := telemetry.NewMetrics()
 	for _, k := range fault.Kinds() {
 		m.CountRefusal(k)
@@ -19,23 +19,23 @@
 	totals := m.Totals(telemetry.Refusals)
 	for _, k := range fault.Kinds() {
 		if totals[string(k)] != 1 {
-			t.Errorf("%s counted %v times", k, totals[string(k)])
+			t.Errorf("%s: counted %v times, want 1", k, totals[string(k)])
 		}
 	}
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	body, _ := io.ReadAll(w.Body)
 	if !strings.Contains(string(body), `clovertrail_refusals_total{reason="no_target"} 1`) {
-		t.Errorf("scrape lacks the counter:\n%s", body)
+		t.Errorf("the scrape lacks the counter of refusals for no_target:\n%s", body)
 	}
 }
 
-func TestOneLineAnEvent(t *testing.T) {
+func TestLogWritesOneLinePerEvent(t *testing.T) {
 	var out bytes.Buffer
 	c := telemetry.New(&out, "entry-1")
 	c.Log.Info("started", "address", "127.0.0.1:1", "note", "two\nlines")
 	line := out.String()
 	if strings.Count(line, "\n") != 1 || !strings.Contains(line, "box=entry-1 address=127.0.0.1:1") {
-		t.Errorf("got %q", line)
+		t.Errorf("got %q, want a single line with box and address", line)
 	}
 }
--- a/testkit/testkit.go
+++ b/testkit/testkit.go
@@ -1,4 +1,4 @@
-// Package testkit holds what the tests of several modules share.
+// Package testkit provides helpers shared by the tests of several packages.
 //
 // # Usage
 //
@@ -14,24 +14,24 @@
 	_ "pgregory.net/rapid" // registers the flags that Main sets
 )
 
-// seed is the same in every run, so that CI gives the same verdict each time.
+// seed is the fixed random seed of rapid, so that CI has the same result in each run.
 const seed = "20261202"
 
-// Main runs the tests with rapid's seed fixed, so many checks of each property
-// and, if steps is not zero, so many steps in each state machine. Flags given on
-// the command line go before: -rapid.seed=0 draws a new seed, -rapid.checks and
-// -rapid.steps make a long run.
+// Main runs the tests with a fixed seed for rapid, the given number of checks of each property
+// and, if steps is not zero, the given number of steps in each state machine. Flags on the
+// command line take precedence: -rapid.seed=0 draws a new seed, and -rapid.checks and
+// -rapid.steps set the length of a run.
 func Main(m *testing.M, checks, steps int) {
 	flag.Parse()
-	given := map[string]bool{}
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
-	wanted := map[string]string{"rapid.seed": seed, "rapid.checks": strconv.Itoa(checks), "rapid.nofailfile": "true"}
+	explicit := map[string]bool{}
+	flag.Visit(func(f *flag.Flag) { explicit[f.Name] = true })
+	defaults := map[string]string{"rapid.seed": seed, "rapid.checks": strconv.Itoa(checks), "rapid.nofailfile": "true"}
 	if steps > 0 {
-		wanted["rapid.steps"] = strconv.Itoa(steps)
+		defaults["rapid.steps"] = strconv.Itoa(steps)
 	}
-	for name, value := range wanted {
-		if !given[name] {
-			_ = flag.Set(name, value) // rapid has registered it
+	for name, value := range defaults {
+		if !explicit[name] {
+			_ = flag.Set(name, value) // cannot fail: rapid has registered the flag
 		}
 	}
 	os.Exit(m.Run())
