--- a/core/call/limit.go
+++ b/core/call/limit.go
@@ -11,8 +11,8 @@
 // Unlimited means that the target accepts every request.
 type Unlimited struct{}
 
-// Limited means that the target accepts PerSecond requests a second, until it reports another
-// limit.
+// Limited means that the target accepts PerSecond requests a second, for as long as it keeps
+// reporting this limit.
 type Limited struct{ PerSecond float64 }
 
 // maxPerSecond is the highest limit, in requests a second; no target accepts more. It keeps a
--- a/core/call/request.go
+++ b/core/call/request.go
@@ -18,9 +18,9 @@
 
 // Prompt states the size of a request to a model.
 type Prompt struct {
-	Tokens     int // length of the prompt
-	MaxTokens  int // maximum length of the response
-	LengthHint int // the caller's estimate of the response's tokens; 0 if it sent none
+	Tokens     int // number of tokens in the prompt
+	MaxTokens  int // maximum number of tokens in the response
+	LengthHint int // the caller's estimate of the tokens in the response; 0 if it sent none
 	Prefixes   []PromptPrefix
 }
 
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -12,7 +12,7 @@
 	"clovertrail.dev/core/fault"
 )
 
-// Name is the name of a counter, gauge or histogram. Each has a single label, reason; the comments
+// Name is the name of a counter, gauge or histogram. Its only label is reason; the comments
 // below list its values.
 type Name string
 
