--- a/core/domain/name.go
+++ b/core/domain/name.go
@@ -17,7 +17,7 @@
 )
 
 // Incarnation counts the starts of the process on a box. A restarted or replaced
-// box has a higher one, so that outdated messages can be told from current ones.
+// box has a higher one, so that outdated messages can be distinguished from current ones.
 type Incarnation uint64
 
 func invalid(field, format string, args ...any) error {
