--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -216,7 +216,7 @@
 // RankReport is the status of a rank.
 type RankReport struct {
 	// Born is the start time of the engine's process; 0 if the engine does not report it.
-	Born     domain.Born      `json:"born,omitempty"`
+	Born     domain.StartTime `json:"born,omitempty"`
 	Group    domain.GroupName `json:"group"`
 	Rank     int              `json:"rank"`
 	Size     int              `json:"size"`
--- a/node/agent_poller.go
+++ b/node/agent_poller.go
@@ -145,7 +145,7 @@
 		}
 		return err
 	}
-	if !id.Speaks(report.Born) {
+	if !id.MatchesStart(report.Born) {
 		p.handleOtherInstance(id, report.Born)
 		return nil
 	}
@@ -165,9 +165,9 @@
 // handleOtherInstance handles a report of another start of the engine than the one queried. A later
 // start has replaced the queried one, and receives work once the list of targets has it; the report
 // of an earlier start is ignored.
-func (p *agentPoller) handleOtherInstance(id domain.InstanceID, born domain.Born) {
+func (p *agentPoller) handleOtherInstance(id domain.InstanceID, born domain.StartTime) {
 	p.entry.common.Log.Warn("agent reported another start of the engine than the listed one, waiting for the list of targets", "target", id, "born", born)
-	if born > id.Born() {
+	if born > id.StartTime() {
 		p.entry.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.Replaced(id) })
 	}
 }
