--- a/node/rank/planning.go
+++ b/node/rank/planning.go
@@ -10,81 +10,83 @@
 	"clovertrail.dev/telemetry"
 )
 
-// How a coordinator plans: what it learnt of its ranks goes to experts/rebalance, and the
-// plan to mapswitch/orders.
+// This file contains the planning of a coordinator: it passes the counts and the slowdowns
+// of its ranks to experts/rebalance, and the resulting plan to mapswitch/orders.
 
-// counted takes that all ranks have reported what they chose.
-func (d *groupDuty) counted() {
-	d.estimate.Add(d.counts.Take())
-	d.due = true
+// handleCounts adds the summed counts to the estimate once all ranks have reported theirs.
+func (g *groupCoordinator) handleCounts() {
+	g.estimate.Add(g.counts.SumAndReset())
+	g.planDue = true
 }
 
-// planIfDue plans with what was counted, once no change is under way.
-func (d *groupDuty) planIfDue(now time.Time) {
-	if d.due && d.leading && d.coord.CanPropose() && !d.isStopping() {
-		d.due = false
-		d.plan(now, d.estimate.Load())
+// planIfDue plans with the current estimate if counts were added to it and no map change is
+// under way.
+func (g *groupCoordinator) planIfDue(now time.Time) {
+	if g.planDue && g.leading && g.coord.CanPropose() && !g.isStopping() {
+		g.planDue = false
+		g.plan(now, g.estimate.Load())
 	}
 }
 
-// paceChange is by how much a pace must differ from the one before to be logged.
-const paceChange = 0.1
+// slowdownLogThreshold is the least change of a rank's slowdown that is logged, and the least
+// excess over 1 of either value.
+const slowdownLogThreshold = 0.1
 
-// tookPace notes how slow a rank is.
-func (d *groupDuty) tookPace(rank int, pace float64) {
-	if rank >= len(d.paces) {
-		return // it is not one of the group
+// recordSlowdown stores how many times longer than usual the steps of a rank take.
+func (g *groupCoordinator) recordSlowdown(rank int, slowdown float64) {
+	if rank >= len(g.slowdowns) {
+		return // not a rank of this group
 	}
-	if before := d.paces[rank]; math.Abs(pace-before) > paceChange && (pace > 1+paceChange || before > 1+paceChange) {
-		d.log("pace", "of", rank, "pace", pace, "before", before)
+	if before := g.slowdowns[rank]; math.Abs(slowdown-before) > slowdownLogThreshold && (slowdown > 1+slowdownLogThreshold || before > 1+slowdownLogThreshold) {
+		g.log("pace", "of", rank, "pace", slowdown, "before", before)
 	}
-	d.paces[rank] = pace
+	g.slowdowns[rank] = slowdown
 }
 
-// tookHolds puts the map in use together from what all ranks hold of the same
-// version.
-func (d *groupDuty) tookHolds(rank int, report *mesh.RankReport) {
-	if v := report.State.Map; v != d.holdsOf {
-		d.holds, d.holdsOf = map[int][][]int{}, v
+// recordExperts stores the experts that a rank holds. Once the experts of all ranks are
+// present in one version, they form the map in use.
+func (g *groupCoordinator) recordExperts(rank int, report *mesh.RankReport) {
+	if v := report.State.Map; v != g.expertsVersion {
+		g.experts, g.expertsVersion = map[int][][]int{}, v
 	}
-	d.holds[rank] = report.Holds
-	if _, known := d.coord.Current(); known || len(d.holds) < d.size {
+	g.experts[rank] = report.Experts
+	if _, known := g.coord.Current(); known || len(g.experts) < g.size {
 		return
 	}
-	p := make(orders.Placement, d.shape.Layers)
+	p := make(orders.Placement, g.shape.Layers)
 	for l := range p {
-		p[l] = make([][]int, d.size)
-		for r := range d.size {
-			if l >= len(d.holds[r]) {
-				return // not of the shape that the configuration names
+		p[l] = make([][]int, g.size)
+		for r := range g.size {
+			if l >= len(g.experts[r]) {
+				return // the rank has fewer layers than the shape in the configuration
 			}
-			p[l][r] = d.holds[r][l]
+			p[l][r] = g.experts[r][l]
 		}
 	}
-	d.coord.SetCurrent(p)
+	g.coord.SetCurrent(p)
 }
 
-// plan proposes another map if that is worth it.
-func (d *groupDuty) plan(now time.Time, load rebalance.Load) {
-	current, known := d.coord.Current()
+// plan proposes another map if its saving is worth the map change.
+func (g *groupCoordinator) plan(now time.Time, load rebalance.Load) {
+	current, known := g.coord.Current()
 	if !known {
 		return
 	}
-	s := d.agent.settings()
+	s := g.agent.settings()
 	p := rebalance.Planner{
-		Shape: d.shape, Slowdowns: d.paces, Horizon: s.Horizon.Std(), CopySlowdown: slowdown, MaxCopies: s.Copies(d.shape.CopyTime), MinSaving: s.LeastSaving,
-		Overhead: d.overhead,
+		Shape: g.shape, Slowdowns: g.slowdowns, Horizon: s.Horizon.Std(), CopySlowdown: copySlowdown, MaxCopies: s.MaxCopies(g.shape.CopyTime), MinSaving: s.MinSaving,
+		Overhead: g.overhead,
 	}
 	plan := p.Plan(rebalance.Map(current), load)
-	d.agent.common.Metrics.Set(telemetry.StepSkew, d.group, plan.SkewBefore)
+	g.agent.common.Metrics.Set(telemetry.StepSkew, g.group, plan.SkewBefore)
 	if !plan.Worthwhile() {
 		return
 	}
-	if !d.coord.Propose(now, orders.Placement(plan.Map), plan.CopyTime) {
+	if !g.coord.Propose(now, orders.Placement(plan.Map), plan.CopyTime) {
 		return
 	}
-	d.agent.common.Metrics.Count(telemetry.MovedExperts, d.group, plan.Copies)
+	g.agent.common.Metrics.Count(telemetry.MovedExperts, g.group, plan.Copies)
 	rows, _ := orders.Placement(plan.Map).Diff(current)
-	d.rows, d.copying = len(rows), plan.CopyTime
-	d.log("map proposed", "skew", plan.SkewBefore, "expected", plan.SkewAfter, "moves", plan.Copies, "copying", plan.CopyTime)
+	g.changedRows, g.copyTime = len(rows), plan.CopyTime
+	g.log("map proposed", "skew", plan.SkewBefore, "expected", plan.SkewAfter, "moves", plan.Copies, "copying", plan.CopyTime)
 }
--- /dev/null
+++ b/node/record_follower.go
@@ -0,0 +1,246 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"sync/atomic"
+	"time"
+
+	"clovertrail.dev/core/clock"
+	"clovertrail.dev/membership"
+	"clovertrail.dev/node/process"
+	"clovertrail.dev/platform"
+	"clovertrail.dev/routing"
+	"clovertrail.dev/store"
+	"clovertrail.dev/store/follow"
+	"clovertrail.dev/telemetry"
+)
+
+// recordFollower follows one kind of record in the store and passes listings and changes on.
+type recordFollower struct {
+	common    telemetry.Common
+	feed      store.Feed
+	kind      store.Kind
+	timing    follow.Timing
+	follower  *follow.Follower
+	onList    func(store.Listing)
+	onChanges func(store.Changes)
+	onFailure func() // called after each call that the store did not answer
+
+	peers         func() (boxes, position int) // the boxes that follow the store and notify each other of changes
+	delegated     func() bool                  // reports whether another box follows the store for this one
+	knownPosition func() store.Position        // up to which this box has the records, from the store or from peers
+	era           func() store.Era             // the latest era of the store that this box has observed
+
+	failing bool        // the store did not answer the last call
+	healthy atomic.Bool // the store answered the last call
+}
+
+// relistSlack is added to the time in which the roster settles after a restore of the store; the
+// targets are then listed once more.
+const relistSlack = 500 * time.Millisecond
+
+// maxStoreWait is the longest wait of a watch: shorter than the longest that the store accepts, 30 s.
+const maxStoreWait = 25 * time.Second
+
+// maxFirstStartDelay bounds how long a box waits for other boxes to send it their records when the
+// whole system starts for the first time: a few times the time from its first advert to their
+// response (membership.PullDelay and a few trips between boxes). A box that starts later has callers
+// waiting, and queries the store at once.
+const maxFirstStartDelay = 600 * time.Millisecond
+
+const (
+	// minStoreBackoff is the first pause after the store failed, and maxStoreBackoff the longest.
+	minStoreBackoff, maxStoreBackoff = 100 * time.Millisecond, time.Second
+	// The bounds of the settings are divided by these: backoffsPerBound pauses after failures fit into
+	// the bound of a change of the configuration, watchesPerBound watches into the bound of contact,
+	// and changePausesPerBound pauses that collect changes into the bound of draining.
+	backoffsPerBound, watchesPerBound, changePausesPerBound = 4, 2, 8
+)
+
+// followTiming derives the timing from the bounds of the settings: a watch that was silently dropped
+// while the store was failing is noticed before the bounds apply again.
+func followTiming(b process.Bounds) follow.Timing {
+	return follow.Timing{
+		Wait:        b.Contact.Std() / watchesPerBound,
+		MaxWait:     maxStoreWait,
+		MinBackoff:  minStoreBackoff,
+		MaxBackoff:  min(maxStoreBackoff, b.ConfigApply.Std()/backoffsPerBound),
+		RelistDelay: membership.RestoreSettleFor + relistSlack,
+		ChangePause: b.Drain.Std() / changePausesPerBound, // the rest of the bound is for notifying peers of leaving targets
+	}
+}
+
+// run follows the kind until ctx ends.
+func (f *recordFollower) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		boxes, position := f.peers()
+		f.follower.SetPeers(boxes, position)
+		f.follower.SetDelegated(f.delegated())
+		f.follower.CaughtUpFromPeers(clock.Now(), f.knownPosition())
+		f.follower.ObserveEra(f.era())
+		switch c := f.follower.Next(clock.Now()).(type) {
+		case follow.List:
+			f.list(ctx)
+		case follow.Watch:
+			f.watch(ctx, c)
+		case follow.Sleep:
+			clock.SleepUntil(ctx, c.Until)
+		}
+	}
+}
+
+func (f *recordFollower) list(ctx context.Context) {
+	began := clock.Now()
+	l, err := f.feed.List(ctx, f.kind)
+	f.recordCall("list", began, err)
+	f.follower.Listed(clock.Now(), l.At, err)
+	if err == nil {
+		f.onList(l)
+	}
+}
+
+func (f *recordFollower) watch(ctx context.Context, w follow.Watch) {
+	began := clock.Now()
+	watchCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	returned := make(chan struct{})
+	defer close(returned)
+	go f.limitWait(returned, cancel, began)
+	c, err := f.feed.Watch(watchCtx, f.kind, w.Since, w.Wait)
+	if err != nil && watchCtx.Err() != nil && ctx.Err() == nil {
+		c, err = store.Changes{At: w.Since}, nil // limitWait cancelled the watch, the store did not fail
+	}
+	f.recordCall("watch", began, err)
+	now := clock.Now()
+	if f.follower.Watched(now, c.At, err) && len(c.Events) > 0 {
+		f.follower.Changed(now)
+		f.onChanges(c)
+	}
+}
+
+// waitCheckInterval is the time between two checks of whether a watch waits too long.
+const waitCheckInterval = 250 * time.Millisecond
+
+// limitWait cancels a watch that was started with a long wait because many boxes shared the watching,
+// once too few of them are left: no other box would notify this one of changes if the store had
+// silently dropped the watch.
+func (f *recordFollower) limitWait(returned <-chan struct{}, cancel context.CancelFunc, began time.Time) {
+	ticker := time.NewTicker(waitCheckInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-returned:
+			return
+		case <-ticker.C:
+		}
+		boxes, _ := f.peers()
+		if clock.Since(began) > f.timing.WaitFor(boxes)+waitCheckInterval {
+			cancel()
+			return
+		}
+	}
+}
+
+// recordCall counts a call to the store, and logs when the store starts to fail or answers again.
+func (f *recordFollower) recordCall(call string, began time.Time, err error) {
+	name := call + " " + string(f.kind)
+	f.common.Metrics.Observe(telemetry.StoreCalls, name, clock.Since(began))
+	if err != nil {
+		f.common.Metrics.Count(telemetry.PlatformCalls, name+" failed", 1)
+	} else {
+		f.common.Metrics.Count(telemetry.PlatformCalls, name, 1)
+	}
+	failing := err != nil && !isHistoryLost(err)
+	f.healthy.Store(!failing)
+	if failing {
+		f.onFailure()
+	}
+	if failing != f.failing {
+		f.failing = failing
+		f.logAvailability(failing, err)
+	}
+}
+
+func (f *recordFollower) logAvailability(failing bool, err error) {
+	if failing {
+		f.common.Log.Warn("store lost", "kind", f.kind, "known_to", f.follower.Position(), "err", err)
+		return
+	}
+	f.common.Log.Info("store answers again", "kind", f.kind, "away", clock.Since(f.follower.FailingSince()))
+}
+
+// followConfiguration returns the follower of the operator's configuration.
+func (e *Entry) followConfiguration(feed store.Feed) *recordFollower {
+	apply := func(r store.Record) {
+		if r.Name == platform.Configuration {
+			e.view.applyConfiguration(r.Spec, r.At, "store")
+		}
+	}
+	f := e.newRecordFollower(feed, platform.Configurations)
+	f.onList = func(l store.Listing) {
+		for _, r := range l.Records {
+			apply(r)
+		}
+	}
+	f.onChanges = func(c store.Changes) {
+		for _, ev := range c.Events {
+			if !ev.Removed {
+				apply(ev.Record)
+			}
+		}
+	}
+	f.onFailure = func() {}
+	f.knownPosition = func() store.Position {
+		_, edition := e.view.document()
+		return edition.At
+	}
+	return f
+}
+
+// followTargets returns the follower of the list of targets.
+func (e *Entry) followTargets(feed store.Feed) *recordFollower {
+	f := e.newRecordFollower(feed, platform.Targets)
+	f.onList = func(l store.Listing) {
+		events := make([]store.Event, 0, len(l.Records))
+		for _, r := range l.Records {
+			events = append(events, store.Event{Record: r})
+		}
+		if l.Nameless > 0 {
+			e.common.Log.Error("store listed records without a name, ignoring them", "kind", platform.Targets, "records", l.Nameless, "at", l.At)
+		}
+		e.view.applyTargets(l.At, e.view.decodeTargets(events), "store")
+	}
+	f.onChanges = func(c store.Changes) {
+		e.view.applyChanges(c.At, e.view.decodeTargets(c.Events), "store")
+	}
+	f.knownPosition = func() (at store.Position) {
+		e.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { at = r.At() })
+		return at
+	}
+	f.onFailure = func() {
+		e.fleet.with(func(r *membership.Roster, _ *routing.Balancer) { r.StoreUnavailable(clock.Now()) })
+	}
+	return f
+}
+
+// newRecordFollower returns a follower of the kind; the caller sets its remaining functions.
+func (e *Entry) newRecordFollower(feed store.Feed, kind store.Kind) *recordFollower {
+	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	timing := followTiming(e.settings().Bounds)
+	if e.settings().FirstStart {
+		timing.MaxStartDelay = maxFirstStartDelay
+	}
+	if kind == platform.Configurations {
+		timing.ChangePause = 0 // changes are rare, and take effect at once
+		timing.RelistDelay = 0 // the versions of the documents order them, also after a restore
+	}
+	return &recordFollower{
+		timing: timing,
+		common: e.common, feed: feed, kind: kind, peers: e.hallPoller.storeFollowers, delegated: e.hallPoller.hubFollowsStore,
+		follower: follow.New(timing, rnd), era: func() store.Era { return e.timeline.latest().Era() },
+	}
+}
+
+func isHistoryLost(err error) bool { return errors.Is(err, store.ErrHistoryLost) }
--- a/node/suspended.go
+++ b/node/suspended.go
@@ -7,16 +7,18 @@
 	"clovertrail.dev/telemetry"
 )
 
-// suspended reports that the machine was suspended, or that this cannot be found out.
-func (p *loaded) suspended(d time.Duration, err error) {
+// onSuspended handles a suspension of the machine of the given duration, or the error for which
+// suspensions cannot be detected.
+func (p *loadedProcess) onSuspended(d time.Duration, err error) {
 	if err != nil {
-		p.common.Log.Error("clocks not read, suspensions of the machine go unnoticed", "err", err)
+		p.common.Log.Error("reading the clocks failed, suspensions of the machine are not detected", "err", err)
 		return
 	}
 	p.common.Metrics.Count(telemetry.Suspensions, "", int(math.Ceil(d.Seconds())))
 	p.common.Log.Warn("machine was suspended", "for", d)
-	p.woken()
+	p.onResume()
 }
 
-// Woken makes the box look at once for what it missed while its machine was suspended.
-func (e *Entry) Woken() { e.peering.notify() }
+// CatchUpAfterSuspension starts a round of adverts at once, as the box may have missed updates while
+// its machine was suspended.
+func (e *Entry) CatchUpAfterSuspension() { e.peering.notify() }
