--- a/membership/groups.go
+++ b/membership/groups.go
@@ -88,9 +88,9 @@
 func (g *groupView) addProgress(e *entry) {
 	p := e.progress
 	switch {
-	case e.reported.Epoch < g.epoch:
-	case e.reported.Epoch > g.epoch || p.step > g.step:
-		g.epoch, g.step, g.steppedAt = e.reported.Epoch, p.step, p.steppedAt
+	case e.reportedRank.Epoch < g.epoch:
+	case e.reportedRank.Epoch > g.epoch || p.step > g.step:
+		g.epoch, g.step, g.steppedAt = e.reportedRank.Epoch, p.step, p.steppedAt
 	case p.step == g.step && p.steppedAt.Before(g.steppedAt):
 		g.steppedAt = p.steppedAt
 	}
@@ -99,8 +99,8 @@
 // freshestRank returns the rank as the target reports it, if the report is fresh and not of an
 // earlier formation than the listed one, else as listed.
 func (r *Roster) freshestRank(now time.Time, e *entry, listed domain.Rank) domain.Rank {
-	if !e.reportedAt.IsZero() && now.Sub(e.reportedAt) < r.policy.ReportFresh && e.reported.Epoch >= listed.Epoch {
-		return e.reported
+	if !e.reportedAt.IsZero() && now.Sub(e.reportedAt) < r.policy.ReportFresh && e.reportedRank.Epoch >= listed.Epoch {
+		return e.reportedRank
 	}
 	return listed
 }
--- a/membership/instances_test.go
+++ b/membership/instances_test.go
@@ -12,7 +12,7 @@
 	"clovertrail.dev/store"
 )
 
-// instance returns the instance of "a" with the birth time; 0 is for an instance without one.
+// instance returns the instance of "a" with the start time; 0 is for an instance whose start time is unknown.
 func instance(born domain.StartTime) domain.InstanceID {
 	id, err := domain.NewInstanceID("a", born)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return id
 }
 
-// born returns an update of the instance of "a" with the birth time.
+// born returns an update of the instance of "a" with the start time.
 func born(at domain.StartTime, state domain.TargetState, rev store.Revision) membership.TargetUpdate {
 	id := instance(at)
 	return membership.TargetUpdate{ID: id, At: pos(rev), Target: target(string(id), state, nil)}
@@ -47,7 +47,7 @@
 		{"another box reports the later instance late", []membership.TargetUpdate{born(1, ready, 5), born(2, ready, 3)}, instance(2)},
 		{"a removal at a later position than the later instance", []membership.TargetUpdate{born(1, ready, 1), gone("a", 9), born(2, ready, 3)}, ""},
 		{"its entry is removed, and the next instance starts", []membership.TargetUpdate{born(1, ready, 1), gone("a", 2), born(2, ready, 3)}, instance(2)},
-		{"an entry without the birth time is from another writer", []membership.TargetUpdate{born(1, ready, 1), born(0, ready, 2)}, ""},
+		{"an entry without a start time is from another writer", []membership.TargetUpdate{born(1, ready, 1), born(0, ready, 2)}, ""},
 		{"the next entry of its own is used", []membership.TargetUpdate{born(1, ready, 1), born(0, ready, 2), born(1, ready, 3)}, instance(1)},
 		{"an entry that names no target", []membership.TargetUpdate{born(1, ready, 1), unusable()}, ""},
 		{"an entry that names no target, older than the known one", []membership.TargetUpdate{born(1, ready, 3), unusable()}, instance(1)},
--- a/membership/restored.go
+++ b/membership/restored.go
@@ -14,15 +14,15 @@
 
 // enterEra records the position of a list if it is the first of a later era.
 func (r *Roster) enterEra(now time.Time, at store.Position) {
-	if !r.at.IsZero() && at.Era() > r.at.Era() {
-		r.restoredAt, r.restoredTo = now, at
+	if !r.listPosition.IsZero() && at.Era() > r.listPosition.Era() {
+		r.restoredAt, r.restorePosition = now, at
 	}
 }
 
 // fromRestore reports whether the update is of the first list after a restore, and the entry from
 // before the restore. The list may then be as old as the backup.
 func (r *Roster) fromRestore(e *entry, u TargetUpdate) bool {
-	return u.At.Era() > e.at.Era() && !e.at.IsZero() && !u.At.After(r.restoredTo)
+	return u.At.Era() > e.lastChange.Era() && !e.lastChange.IsZero() && !u.At.After(r.restorePosition)
 }
 
 // outdated reports whether the update comes from a restored list and is older than the known state
--- a/membership/roster_test.go
+++ b/membership/roster_test.go
@@ -41,7 +41,7 @@
 	return membership.TargetUpdate{ID: domain.InstanceID(id), At: pos(rev)}
 }
 
-// standings returns the standings of the service's targets by id, without leaving ones.
+// standings returns the standings of the targets of the service "s" by id, except leaving ones.
 func standings(r *membership.Roster, now time.Time) map[domain.InstanceID]membership.Standing {
 	m := map[domain.InstanceID]membership.Standing{}
 	for _, x := range r.Ranked(now, "s") {
@@ -64,10 +64,10 @@
 		{"ready", []membership.TargetUpdate{ready("a", 1)}, true},
 		{"leaving", []membership.TargetUpdate{ready("a", 1), leaving("a", 2)}, false},
 		{"removed without a report of leaving", []membership.TargetUpdate{ready("a", 1), gone("a", 2)}, false},
-		{"older update to leaving", []membership.TargetUpdate{ready("a", 5), leaving("a", 4)}, true},
-		{"older update to ready", []membership.TargetUpdate{leaving("a", 5), ready("a", 4)}, false},
+		{"update to leaving, older than the entry", []membership.TargetUpdate{ready("a", 5), leaving("a", 4)}, true},
+		{"update to ready, older than the entry", []membership.TargetUpdate{leaving("a", 5), ready("a", 4)}, false},
 		{"listed again under the same id", []membership.TargetUpdate{ready("a", 1), gone("a", 2), ready("a", 3)}, true},
-		{"older update after its removal", []membership.TargetUpdate{gone("a", 5), ready("a", 4)}, false},
+		{"update to ready, older than the removal", []membership.TargetUpdate{gone("a", 5), ready("a", 4)}, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -86,8 +86,8 @@
 	r := newRoster()
 	r.ApplyList(start, pos(10), []membership.TargetUpdate{ready("a", 1), ready("b", 2)})
 	applied := r.ApplyList(start, pos(20), []membership.TargetUpdate{ready("b", 2), ready("c", 15)})
-	if len(applied) != 2 { // c was added, a removed
-		t.Errorf("applied updates: %+v", applied)
+	if len(applied) != 2 {
+		t.Errorf("%d updates applied, want 2 (a removed, c added): %+v", len(applied), applied)
 	}
 	if mayBeUsed(r, start, "a") || !mayBeUsed(r, start, "b") || !mayBeUsed(r, start, "c") {
 		t.Errorf("standings: %v, want b and c usable", standings(r, start))
@@ -112,17 +112,17 @@
 	r.ApplyUpdate(back, gone("a", 3))
 	r.ApplyUpdate(back, gone("b", 4))
 	if s := standings(r, back)["a"]; s != membership.Lapsed {
-		t.Errorf("a: %v", s)
+		t.Errorf("a is %v after its entry lapsed, want lapsed", s)
 	}
 	if mayBeUsed(r, back, "b") {
-		t.Error("b is used although it was leaving")
+		t.Error("b is usable although it was listed as leaving when its entry was removed")
 	}
 	if end := back.Add(drain - time.Millisecond); mayBeUsed(r, end, "a") {
-		t.Error("still used just before the platform's grace to drain ends")
+		t.Error("a is still usable 1 ms before the platform's drain period ends")
 	}
 	r.ApplyUpdate(back.Add(time.Second), ready("a", 9))
 	if s := standings(r, back.Add(drain))["a"]; s != membership.Good {
-		t.Errorf("listed again: %v", s)
+		t.Errorf("a is %v after it was listed again, want good", s)
 	}
 }
 
@@ -133,7 +133,7 @@
 	later := start.Add(time.Minute)
 	r.ApplyUpdate(later, gone("a", 2))
 	if mayBeUsed(r, later, "a") {
-		t.Error("used although the store has long been available again")
+		t.Error("a is usable although the store was available again long before its entry was removed")
 	}
 }
 
@@ -142,7 +142,7 @@
 	r.ApplyUpdate(start, ready("a", 1))
 	r.Replaced("a")
 	if mayBeUsed(r, start, "a") {
-		t.Error("still used after another instance answered at its address")
+		t.Error("a is still usable after another instance answered at its address")
 	}
 }
 
@@ -151,15 +151,15 @@
 	r.ApplyUpdate(start, ready("a", 1))
 	r.Unreachable(start, "a")
 	if mayBeUsed(r, start.Add(500*time.Millisecond), "a") {
-		t.Error("tried again after half a second")
+		t.Error("a is usable half a second after a failed connection")
 	}
 	if !mayBeUsed(r, start.Add(5*time.Second), "a") {
-		t.Error("never tried again")
+		t.Error("a is not usable 5 s after a failed connection")
 	}
 	r.Unreachable(start.Add(5*time.Second), "a")
 	r.Succeeded(start.Add(5*time.Second), "a")
 	if !mayBeUsed(r, start.Add(5*time.Second), "a") {
-		t.Error("not used after a successful attempt")
+		t.Error("a is not usable after a successful attempt")
 	}
 }
 
@@ -206,13 +206,13 @@
 	}
 	for id, s := range standings(r, start) {
 		if s != membership.Good {
-			t.Errorf("%s is %v", id, s)
+			t.Errorf("%s is %v, want good", id, s)
 		}
 	}
 }
 
-// group applies updates that list a group of two ranks.
-func group(r *membership.Roster, rev store.Revision, epoch uint64, open bool) {
+// listGroup applies updates that list the two ranks, r0 and r1, of the group "g".
+func listGroup(r *membership.Roster, rev store.Revision, epoch uint64, open bool) {
 	for i, id := range []string{"r0", "r1"} {
 		rank := &domain.Rank{Group: "g", Epoch: epoch, Number: i, Size: 2, Open: open}
 		r.ApplyUpdate(start, membership.TargetUpdate{ID: domain.InstanceID(id), At: pos(rev + store.Revision(i)), Target: target(id, domain.TargetReady, rank)})
@@ -223,7 +223,7 @@
 	open := domain.Rank{Group: "g", Epoch: 1, Size: 2, Open: true}
 	broken := open
 	broken.Open = false
-	second := start.Add(time.Second)
+	afterOneSecond := start.Add(time.Second)
 	tests := []struct {
 		name string
 		do   func(*membership.Roster)
@@ -232,43 +232,43 @@
 	}{
 		{"open", func(*membership.Roster) {}, start, membership.Good},
 		{"a rank reports that the group is not open", func(r *membership.Roster) { r.Reported(start, "r1", broken, 5, false) }, start, membership.Unfit},
-		{"that report is old", func(r *membership.Roster) { r.Reported(start, "r1", broken, 5, false) }, start.Add(2 * time.Second), membership.Good},
-		{"another rank is unreachable", func(r *membership.Roster) { r.Unreachable(start, "r1") }, start.Add(100 * time.Millisecond), membership.Suspect},
-		{"a rank is unreachable and the group steps on", func(r *membership.Roster) {
+		{"a report that the group is not open is outdated", func(r *membership.Roster) { r.Reported(start, "r1", broken, 5, false) }, start.Add(2 * time.Second), membership.Good},
+		{"the other rank is unreachable", func(r *membership.Roster) { r.Unreachable(start, "r1") }, start.Add(100 * time.Millisecond), membership.Suspect},
+		{"the other rank is unreachable and the group continues to step", func(r *membership.Roster) {
 			r.Reported(start, "r0", open, 5, true)
 			r.Unreachable(start, "r1")
 			r.Reported(start.Add(100*time.Millisecond), "r0", open, 6, true)
 		}, start.Add(200 * time.Millisecond), membership.Good},
 		{"work and no new step", func(r *membership.Roster) {
 			r.Reported(start, "r0", open, 5, true)
-			r.Reported(second, "r0", open, 5, true)
-		}, second, membership.Suspect},
-		{"one rank does not report and the group steps on", func(r *membership.Roster) {
+			r.Reported(afterOneSecond, "r0", open, 5, true)
+		}, afterOneSecond, membership.Suspect},
+		{"one rank no longer reports and the group continues to step", func(r *membership.Roster) {
 			r.Reported(start, "r0", open, 5, true)
 			r.Reported(start.Add(400*time.Millisecond), "r1", open, 6, true)
 			r.Reported(start.Add(800*time.Millisecond), "r1", open, 7, true)
-		}, second, membership.Good},
-		{"a late report repeats a step that others reported before", func(r *membership.Roster) {
+		}, afterOneSecond, membership.Good},
+		{"a rank reports late a step that the other rank reported before", func(r *membership.Roster) {
 			r.Reported(start, "r0", open, 5, true)
 			r.Reported(start, "r1", open, 6, true)
 			r.Reported(start.Add(900*time.Millisecond), "r0", open, 6, true)
-		}, second, membership.Suspect},
-		{"formed anew, with a rank's report from before", func(r *membership.Roster) {
+		}, afterOneSecond, membership.Suspect},
+		{"the group is formed again, and one rank's last report is from its earlier formation", func(r *membership.Roster) {
 			r.Reported(start, "r0", open, 900, true)
 			later := open
 			later.Epoch = 2
 			r.Reported(start.Add(400*time.Millisecond), "r1", later, 1, true)
 			r.Reported(start.Add(800*time.Millisecond), "r1", later, 2, true)
-		}, second, membership.Good},
+		}, afterOneSecond, membership.Good},
 		{"no new step and no work", func(r *membership.Roster) {
 			r.Reported(start, "r0", open, 5, false)
-			r.Reported(second, "r0", open, 5, false)
-		}, second, membership.Good},
+			r.Reported(afterOneSecond, "r0", open, 5, false)
+		}, afterOneSecond, membership.Good},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRoster()
-			group(r, 1, 1, true)
+			listGroup(r, 1, 1, true)
 			tc.do(r)
 			if got := standings(r, tc.at)["r0"]; got != tc.want {
 				t.Errorf("got %v, want %v", got, tc.want)
@@ -296,9 +296,9 @@
 	}
 }
 
-// twoHalls lists three targets in a far data hall and two in the near one, all of which have
+// listTwoHalls lists three targets in a far data hall and two in the near one, all of which have
 // reported themselves.
-func twoHalls(now time.Time, r *membership.Roster) {
+func listTwoHalls(now time.Time, r *membership.Roster) {
 	for i, id := range []string{"f1", "f2", "f3", "n1", "n2"} {
 		t, err := domain.NewTarget(domain.TargetFields{
 			ID: domain.InstanceID(id), Service: "s", Address: "10.0.0.1:1", Hall: map[byte]domain.HallName{'f': "far", 'n': "near"}[id[0]],
@@ -316,16 +316,16 @@
 	tests := []struct {
 		name    string
 		reports map[domain.InstanceID]int // time of the report, ms after the start
-		want    membership.Standing       // of n1 at 2 s
+		want    membership.Standing       // standing of n1 at 2 s
 	}{
-		{"it reported a moment ago", map[domain.InstanceID]int{"n1": 1000, "n2": 1900}, membership.Good},
+		{"it reported less than UnresponsiveAfter ago", map[domain.InstanceID]int{"n1": 1000, "n2": 1900}, membership.Good},
 		{"it is silent, another target reported", map[domain.InstanceID]int{"n2": 1900}, membership.Suspect},
 		{"all targets are silent, as after a pause of this box", nil, membership.Good},
 		{"it has reported again", map[domain.InstanceID]int{"n1": 1950, "n2": 1900}, membership.Good},
 	}
 	for _, tc := range tests {
 		r := newRoster()
-		twoHalls(start, r)
+		listTwoHalls(start, r)
 		for id, ms := range tc.reports {
 			r.Reported(start.Add(time.Duration(ms)*time.Millisecond), id, domain.Rank{}, 2, true)
 		}
@@ -339,11 +339,11 @@
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	tests := []struct {
 		name        string
-		unreachable []domain.InstanceID       // at 100 ms
+		unreachable []domain.InstanceID       // targets found unreachable at 100 ms
 		reports     map[domain.InstanceID]int // time of the report, ms after the start
-		at          int
-		usable      bool // whether f3 may be used
-		otherSilent bool // whether all halls but the near one are silent
+		at          int                       // time of the check, ms after the start
+		usable      bool                      // whether f3 may be used
+		otherSilent bool                      // whether all halls but the near one are silent
 	}{
 		{"all targets are reachable", nil, map[domain.InstanceID]int{"n1": 1500}, 1500, true, false},
 		{"one target is unreachable", []domain.InstanceID{"f1"}, map[domain.InstanceID]int{"n1": 1500}, 1500, true, false},
@@ -356,7 +356,7 @@
 	}
 	for _, tc := range tests {
 		r := newRoster()
-		twoHalls(start, r)
+		listTwoHalls(start, r)
 		for _, id := range tc.unreachable {
 			r.Unreachable(at(100), id)
 		}
@@ -364,13 +364,13 @@
 			r.Reported(at(ms), id, domain.Rank{}, 2, true)
 		}
 		if got := mayBeUsed(r, at(tc.at), "f3"); got != tc.usable {
-			t.Errorf("%s: f3 may be used: %v", tc.name, got)
+			t.Errorf("%s: f3 usable: %v, want %v", tc.name, got, tc.usable)
 		}
 		if got := r.OtherHallsSilent(at(tc.at), "near"); got != tc.otherSilent {
-			t.Errorf("%s: other halls are silent: %v", tc.name, got)
+			t.Errorf("%s: all other halls silent: %v, want %v", tc.name, got, tc.otherSilent)
 		}
 		if !mayBeUsed(r, at(tc.at), "n1") {
-			t.Errorf("%s: n1 in the near hall may not be used", tc.name)
+			t.Errorf("%s: n1 in the near hall is not usable", tc.name)
 		}
 	}
 }
@@ -385,48 +385,48 @@
 			kinds := []membership.TargetUpdate{ready(id, store.Revision(rev+1)), leaving(id, store.Revision(rev+1)), gone(id, store.Revision(rev+1))}
 			history = append(history, rapid.SampledFrom(kinds).Draw(rt, "update"))
 		}
-		inOrder, mixed := newRoster(), newRoster()
+		inOrder, shuffled := newRoster(), newRoster()
 		for _, u := range history {
 			inOrder.ApplyUpdate(start, u)
 		}
 		for _, i := range rapid.Permutation([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}).Draw(rt, "order") {
-			mixed.ApplyUpdate(start, history[i])
+			shuffled.ApplyUpdate(start, history[i])
 		}
-		if a, b := standings(inOrder, start), standings(mixed, start); fmt.Sprint(a) != fmt.Sprint(b) {
-			rt.Fatalf("in order %v, mixed %v", a, b)
+		if a, b := standings(inOrder, start), standings(shuffled, start); fmt.Sprint(a) != fmt.Sprint(b) {
+			rt.Fatalf("standings after updates in order: %v, shuffled: %v", a, b)
 		}
-		late := newRoster()
-		late.ApplyList(start, inOrder.Newest(), inOrder.All())
-		if a, b := standings(inOrder, start), standings(late, start); fmt.Sprint(a) != fmt.Sprint(b) {
-			rt.Fatalf("in order %v, from the list of a peer %v", a, b)
+		fromPeer := newRoster()
+		fromPeer.ApplyList(start, inOrder.Newest(), inOrder.All())
+		if a, b := standings(inOrder, start), standings(fromPeer, start); fmt.Sprint(a) != fmt.Sprint(b) {
+			rt.Fatalf("standings after updates in order: %v, from the list of a peer: %v", a, b)
 		}
 	})
 }
 
-// TestReportsOfPeersAreOrderedByTime: an older report that arrives through another box does not
-// undo a newer one that this box received itself.
+// TestReportsOfPeersAreOrderedByTime guards against an older report, relayed late by another box,
+// overwriting a newer one that this box received itself.
 func TestReportsOfPeersAreOrderedByTime(t *testing.T) {
 	r := newRoster()
 	r.ApplyUpdate(start, ready("a", 1))
 	open := domain.Rank{Epoch: 1, Open: true}
 	if !r.Reported(start.Add(time.Second), "a", open, 5, true) {
-		t.Error("the first report is not new")
+		t.Error("the first report was ignored")
 	}
 	if r.Reported(start, "a", domain.Rank{Epoch: 1}, 4, true) {
-		t.Error("an older report is new")
+		t.Error("a report older than the last one was recorded")
 	}
 	now := start.Add(1100 * time.Millisecond)
 	r.PeerUnreachable(now, "a", start)
 	if !mayBeUsed(r, now, "a") {
-		t.Error("not used although it reported after another box could not reach it")
+		t.Error("a is not usable although it has reported since the last report that the other box received")
 	}
 	r.PeerUnreachable(now, "a", start.Add(time.Second))
 	if mayBeUsed(r, now, "a") {
-		t.Error("used although another box could not reach it since its last report")
+		t.Error("a is usable although another box cannot reach it and it has not reported since")
 	}
 	r.Reported(now, "a", open, 6, true)
 	if !mayBeUsed(r, now, "a") {
-		t.Error("not used although it reported again")
+		t.Error("a is not usable although it reported again")
 	}
 }
 
