--- a/cmd/clovertrail-soak/main.go
+++ b/cmd/clovertrail-soak/main.go
@@ -66,9 +66,9 @@
 				defer func() { <-slots }()
 				seed := first + uint64(n)
 				r, err := soak.Run(ctx, soak.Options{
-					Program: cmd.String("program"), Seed: seed, For: cmd.Duration("for"),
-					Boxes: cmd.Int("boxes"), Targets: cmd.Int("targets"), Callers: cmd.Int("callers"), Fatal: cmd.Bool("fatal"), Asks: cmd.Bool("asks"),
-					Limits: cmd.Bool("limits"), Restores: cmd.Bool("restores"),
+					Program: cmd.String("program"), Seed: seed, Duration: cmd.Duration("for"),
+					Boxes: cmd.Int("boxes"), Targets: cmd.Int("targets"), Callers: cmd.Int("callers"), FatalRequests: cmd.Bool("fatal"), TargetRequests: cmd.Bool("asks"),
+					TargetLimits: cmd.Bool("limits"), Restores: cmd.Bool("restores"),
 					Dir: filepath.Join(cmd.String("logs"), fmt.Sprintf("seed-%d", seed)),
 				})
 				results <- result{r, err}
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -16,5 +16,5 @@
 // # Usage
 //
 //	go run ./cmd/clovertrail-soak --seeds 50            # by hand
-//	report, err := soak.Run(ctx, soak.Options{Program: path, Seed: 7, For: 20 * time.Second})
+//	report, err := soak.Run(ctx, soak.Options{Program: path, Seed: 7, Duration: 20 * time.Second})
 package soak
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -38,8 +38,8 @@
 	Violations []Violation
 }
 
-// LeastFor is the shortest run in which something happens.
-const LeastFor = settle + calmEnd + 2*time.Second
+// MinDuration is the shortest run in which something happens.
+const MinDuration = settle + calmEnd + 2*time.Second
 
 // Run makes one run.
 func Run(ctx context.Context, o Options) (Report, error) {
@@ -52,23 +52,23 @@
 		return Report{}, err
 	}
 	began := time.Now()
-	end := began.Add(o.For)
+	end := began.Add(o.Duration)
 	calling, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	var callers, acting sync.WaitGroup
 	for n := range o.Callers {
 		callers.Go(func() { w.call(calling, n) })
 	}
-	if o.Fatal {
+	if o.FatalRequests {
 		callers.Go(func() { w.callFatal(calling) })
 	}
-	if o.Limits {
+	if o.TargetLimits {
 		acting.Go(func() { w.limiting(calling, end.Add(-calmEnd)) })
 	}
 	if o.Restores {
 		acting.Go(func() { w.restoring(calling, end.Add(-calmEnd)) })
 	}
-	if o.Asks {
+	if o.TargetRequests {
 		acting.Go(func() { w.asking(calling, end.Add(-calmEnd)) })
 	}
 	rep := Report{Seed: o.Seed}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -23,11 +23,11 @@
 	if out, err := exec.Command("go", "build", "-o", program, "clovertrail.dev/cmd/clovertrail-node").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	for _, o := range []soak.Options{{Seed: 1}, {Seed: 134}, {Seed: 1, Fatal: true}, {Seed: 405, Fatal: true}, {Seed: 600, Asks: true}, {Seed: 800, Limits: true}, {Seed: 901, Restores: true}} {
+	for _, o := range []soak.Options{{Seed: 1}, {Seed: 134}, {Seed: 1, FatalRequests: true}, {Seed: 405, FatalRequests: true}, {Seed: 600, TargetRequests: true}, {Seed: 800, TargetLimits: true}, {Seed: 901, Restores: true}} {
 		seed := o.Seed
-		o.Program, o.For, o.Dir = program, soak.LeastFor+3*1e9, t.TempDir()
-		if o.Limits || o.Restores {
-			o.For += 6 * time.Second // a limit, or a copy and what follows a restore, last longer than that
+		o.Program, o.Duration, o.Dir = program, soak.MinDuration+3*1e9, t.TempDir()
+		if o.TargetLimits || o.Restores {
+			o.Duration += 6 * time.Second // a limit, or a copy and what follows a restore, last longer than that
 		}
 		r, err := soak.Run(context.Background(), o)
 		if err != nil {
--- a/soak/world.go
+++ b/soak/world.go
@@ -17,21 +17,21 @@
 	Program string
 	// Seed draws what happens.
 	Seed uint64
-	// For is how long the run takes, the calm end included.
-	For time.Duration
+	// Duration is how long the run takes, the calm end included.
+	Duration time.Duration
 	// Boxes, Targets and Callers are how many there are; 0 is the usual number.
 	Boxes, Targets, Callers int
 	// Dir takes settings and logs.
 	Dir string
-	// Fatal adds a caller whose request crashes each target that runs it. What else happens
+	// FatalRequests adds a caller whose request crashes each target that runs it. What else happens
 	// stays as the seed draws it.
-	Fatal bool
-	// Asks lets targets ask for rest, and say with their answers that they are leaving. What
+	FatalRequests bool
+	// TargetRequests lets targets ask for rest, and say with their answers that they are leaving. What
 	// else happens stays as the seed draws it.
-	Asks bool
-	// Limits lets targets name limits with their answers. What else happens stays as the seed
+	TargetRequests bool
+	// TargetLimits lets targets name limits with their answers. What else happens stays as the seed
 	// draws it.
-	Limits bool
+	TargetLimits bool
 	// Restores lets the store come back from older copies. What else happens stays as the seed
 	// draws it.
 	Restores bool
@@ -177,7 +177,7 @@
 	in := incarnation{id: fmt.Sprintf("i-%d", w.incarnations), link: k}
 	in.target = standin.NewTarget(in.id, service, w.ledger.ran)
 	in.server = serve(l, in.target)
-	if w.options.Fatal {
+	if w.options.FatalRequests {
 		w.crashes(h, in)
 	}
 	h.now = in
