--- a/cmd/clovertrail-soak/main.go
+++ b/cmd/clovertrail-soak/main.go
@@ -94,15 +94,15 @@
 
 // show prints a report, and returns whether a promise was broken.
 func show(r soak.Report) bool {
-	fmt.Printf("seed %d: %d requests, %d served, %d acts, %d violations\n", r.Seed, r.Asked, r.Served, len(r.Acts), len(r.Violations))
-	for _, x := range r.Limits {
+	fmt.Printf("seed %d: %d requests, %d served, %d acts, %d violations\n", r.Seed, r.Requests, r.Served, len(r.Actions), len(r.Violations))
+	for _, x := range r.LimitSummaries {
 		fmt.Println("  ", x)
 	}
 	for _, v := range r.Violations {
 		fmt.Printf("  %s: %s\n", v.Promise, v.What)
 	}
 	if len(r.Violations) > 0 {
-		for _, a := range r.Acts {
+		for _, a := range r.Actions {
 			fmt.Println("  ", a)
 		}
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -30,12 +30,12 @@
 
 // Report is what a run came to.
 type Report struct {
-	Seed       uint64
-	Asked      int // requests
-	Served     int
-	Acts       []string // what happened, with the second at which it began
-	Limits     []string // what targets that named limits were sent
-	Violations []Violation
+	Seed           uint64
+	Requests       int // requests
+	Served         int
+	Actions        []string // what happened, with the second at which it began
+	LimitSummaries []string // what targets that named limits were sent
+	Violations     []Violation
 }
 
 // MinDuration is the shortest run in which something happens.
@@ -76,7 +76,7 @@
 	acting.Wait()
 	mended := time.Now()
 	callers.Wait()
-	rep.Violations, rep.Limits = w.ledger.violations(), w.ledger.notes
+	rep.Violations, rep.LimitSummaries = w.ledger.violations(), w.ledger.notes
 	rep.count(w, mended, end)
 	return rep, ctx.Err()
 }
@@ -90,7 +90,7 @@
 		a := acts[r.IntN(len(acts))]
 		length := time.Duration(200+r.IntN(2300)) * time.Millisecond
 		own := rand.New(rand.NewPCG(r.Uint64(), 2))
-		rep.Acts = append(rep.Acts, fmt.Sprintf("%.1f %s for %v", time.Since(began).Seconds(), a.name, length))
+		rep.Actions = append(rep.Actions, fmt.Sprintf("%.1f %s for %v", time.Since(began).Seconds(), a.name, length))
 		acting.Go(func() { w.make(a, own, length) })
 		time.Sleep(time.Duration(r.Int64N(int64(2 * length / time.Duration(busy)))))
 	}
@@ -148,7 +148,7 @@
 	var last, lastServed int
 	from := end.Add(-judged)
 	for _, a := range w.ledger.asked {
-		rep.Asked++
+		rep.Requests++
 		if a.reply.Right {
 			rep.Served++
 		}
