--- a/cmd/clovertrail-soak/main.go
+++ b/cmd/clovertrail-soak/main.go
@@ -99,7 +99,7 @@
 		fmt.Println("  ", x)
 	}
 	for _, v := range r.Violations {
-		fmt.Printf("  %s: %s\n", v.Promise, v.What)
+		fmt.Printf("  %s: %s\n", v.Guarantee, v.Details)
 	}
 	if len(r.Violations) > 0 {
 		for _, a := range r.Actions {
--- a/soak/ledger.go
+++ b/soak/ledger.go
@@ -33,8 +33,8 @@
 
 // Violation is a promise that was seen broken.
 type Violation struct {
-	Promise string
-	What    string
+	Guarantee string
+	Details   string
 }
 
 // ledger keeps what was seen. Its methods may be called from any goroutine.
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 		for _, v := range r.Violations {
-			t.Errorf("seed %d: %s: %s (%v)", seed, v.Promise, v.What, r.Actions)
+			t.Errorf("seed %d: %s: %s (%v)", seed, v.Guarantee, v.Details, r.Actions)
 		}
 		if r.Served == 0 {
 			t.Errorf("seed %d: nothing was served", seed)
