--- a/soak/box.go
+++ b/soak/box.go
@@ -15,32 +15,32 @@
 
 // box is an entry process, started again whenever it ends.
 type box struct {
-	name    string
-	program string
-	file    string
-	callers string
-	store   *link // between it and the store
-	log     io.Writer
+	name          string
+	program       string
+	settingsFile  string
+	callerAddress string
+	storeProxy    *proxy // between it and the store
+	log           io.Writer
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	life   int // starts so far
-	wanted bool
-	ended  chan struct{} // of the present life
+	mu      sync.Mutex
+	cmd     *exec.Cmd
+	starts  int // starts so far
+	restart bool
+	exited  chan struct{} // of the present life
 }
 
 // graceful is how long a stopped process may take to end, as the platform allows.
-const graceful = 8 * time.Second
+const stopBound = 8 * time.Second
 
 // drainBound is the bound on work for a target that leaves, as its settings say.
 const drainBound = 2 * time.Second
 
 // applyBound is the bound on a configuration's coming into force.
-const applyBound = 2 * time.Second
+const configApplyBound = 2 * time.Second
 
 // newBox writes the settings of a box. seeds are meeting addresses of others.
-func newBox(dir, program, name, hall string, ports []string, seeds []string, store *link) (*box, error) {
-	b := &box{name: name, program: program, callers: ports[0], store: store, file: filepath.Join(dir, name+".json")}
+func newBox(dir, program, name, hall string, ports []string, seeds []string, storeProxy *proxy) (*box, error) {
+	b := &box{name: name, program: program, callerAddress: ports[0], storeProxy: storeProxy, settingsFile: filepath.Join(dir, name+".json")}
 	log, err := os.Create(filepath.Join(dir, name+".log"))
 	if err != nil {
 		return nil, err
@@ -48,21 +48,21 @@
 	b.log = log
 	raw, err := json.Marshal(map[string]any{
 		"box": name, "hall": hall, "callers": ports[0], "ready": ports[1], "peers": ports[2], "meeting": ports[3],
-		"seeds": seeds, "store": store.address(),
+		"seeds": seeds, "store": storeProxy.address(),
 		"bounds": map[string]any{
-			"drain": drainBound.String(), "stop": graceful.String(), "config_apply": applyBound.String(),
+			"drain": drainBound.String(), "stop": stopBound.String(), "config_apply": configApplyBound.String(),
 			"contact": "3s", "retry_share": 0.2, "retry_slack": 40, "retry_window": "10s",
 		},
 	})
 	if err != nil {
 		return nil, err
 	}
-	return b, os.WriteFile(b.file, raw, 0o600)
+	return b, os.WriteFile(b.settingsFile, raw, 0o600)
 }
 
 // freePorts finds addresses that nobody listens at. They are of a loopback address of
 // the run's own, so that no other run takes them in the meantime.
-func freePorts(seed uint64, n int) ([]string, error) {
+func freeAddresses(seed uint64, n int) ([]string, error) {
 	const octet = 250
 	own := fmt.Sprintf("127.%d.%d.1:0", 1+seed/octet%octet, 1+seed%octet)
 	list := make([]string, 0, n)
@@ -81,36 +81,36 @@
 func (b *box) start() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.wanted = true
-	return b.begin()
+	b.restart = true
+	return b.startLocked()
 }
 
 // begin starts the process; mu is held.
-func (b *box) begin() error {
+func (b *box) startLocked() error {
 	cmd := exec.Command(b.program, "entry")
-	cmd.Env = append(os.Environ(), "CLOVERTRAIL_BOOT="+b.file)
+	cmd.Env = append(os.Environ(), "CLOVERTRAIL_BOOT="+b.settingsFile)
 	cmd.Stdout, cmd.Stderr = b.log, b.log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	b.cmd, b.ended = cmd, make(chan struct{})
-	b.life++
-	go b.await(cmd, b.ended)
+	b.cmd, b.exited = cmd, make(chan struct{})
+	b.starts++
+	go b.restartOnExit(cmd, b.exited)
 	return nil
 }
 
 // restartAfter is how long a process that ended stays away.
-const restartAfter = 300 * time.Millisecond
+const restartDelay = 300 * time.Millisecond
 
 // await starts the process again after its end.
-func (b *box) await(cmd *exec.Cmd, ended chan struct{}) {
+func (b *box) restartOnExit(cmd *exec.Cmd, exited chan struct{}) {
 	_ = cmd.Wait() // how it ended is in its log
-	close(ended)
-	time.Sleep(restartAfter)
+	close(exited)
+	time.Sleep(restartDelay)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.wanted && b.cmd == cmd {
-		if err := b.begin(); err != nil {
+	if b.restart && b.cmd == cmd {
+		if err := b.startLocked(); err != nil {
 			_, _ = fmt.Fprintln(b.log, "not started:", err) // the run shows that it is away
 		}
 	}
@@ -126,21 +126,21 @@
 }
 
 // lives is the number of the present life.
-func (b *box) lives() int {
+func (b *box) startCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.life
+	return b.starts
 }
 
 // end ends the process for good.
-func (b *box) end() {
+func (b *box) kill() {
 	b.mu.Lock()
-	b.wanted = false
-	ended := b.ended
+	b.restart = false
+	exited := b.exited
 	b.mu.Unlock()
 	b.signal(syscall.SIGCONT)
 	b.signal(syscall.SIGKILL)
-	if ended != nil {
-		<-ended
+	if exited != nil {
+		<-exited
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -13,19 +13,19 @@
 
 const (
 	// settle is how long the world has before the first act.
-	settle = 2 * time.Second
+	warmUp = 2 * time.Second
 	// calmEnd is how long the world is left alone at the end: a process that was killed
 	// last is back, and the last bounds have passed.
-	calmEnd = 6 * time.Second
+	coolDown = 6 * time.Second
 	// judged is the part of the calm end in which all must be served.
-	judged = 2 * time.Second
+	recoveryWindow = 2 * time.Second
 	// callerPatience is the time that callers have.
-	callerPatience = 3 * time.Second
+	callerTimeout = 3 * time.Second
 	// callerRest is the pause of a caller between two requests.
-	callerRest = 25 * time.Millisecond
+	callerPause = 25 * time.Millisecond
 	// together bounds how many acts are under way at once, most often; some runs are
 	// quieter, so that promises with a bound in time are put to the test as well.
-	together = 4
+	maxConcurrentActions = 4
 )
 
 // Report is what a run came to.
@@ -39,14 +39,14 @@
 }
 
 // MinDuration is the shortest run in which something happens.
-const MinDuration = settle + calmEnd + 2*time.Second
+const MinDuration = warmUp + coolDown + 2*time.Second
 
 // Run makes one run.
 func Run(ctx context.Context, o Options) (Report, error) {
 	o = o.withDefaults()
-	w, err := newWorld(o)
-	if w != nil {
-		defer w.end()
+	e, err := newEnvironment(o)
+	if e != nil {
+		defer e.close()
 	}
 	if err != nil {
 		return Report{}, err
@@ -57,104 +57,104 @@
 	defer cancel()
 	var callers, acting sync.WaitGroup
 	for n := range o.Callers {
-		callers.Go(func() { w.call(calling, n) })
+		callers.Go(func() { e.runCaller(calling, n) })
 	}
 	if o.FatalRequests {
-		callers.Go(func() { w.callFatal(calling) })
+		callers.Go(func() { e.sendFatalRequests(calling) })
 	}
 	if o.TargetLimits {
-		acting.Go(func() { w.limiting(calling, end.Add(-calmEnd)) })
+		acting.Go(func() { e.runTargetLimits(calling, end.Add(-coolDown)) })
 	}
 	if o.Restores {
-		acting.Go(func() { w.restoring(calling, end.Add(-calmEnd)) })
+		acting.Go(func() { e.runRestores(calling, end.Add(-coolDown)) })
 	}
 	if o.TargetRequests {
-		acting.Go(func() { w.asking(calling, end.Add(-calmEnd)) })
+		acting.Go(func() { e.runTargetRequests(calling, end.Add(-coolDown)) })
 	}
 	rep := Report{Seed: o.Seed}
-	w.act(&rep, began, end.Add(-calmEnd), &acting)
+	e.runActions(&rep, began, end.Add(-coolDown), &acting)
 	acting.Wait()
 	mended := time.Now()
 	callers.Wait()
-	rep.Violations, rep.LimitSummaries = w.ledger.violations(), w.ledger.notes
-	rep.count(w, mended, end)
+	rep.Violations, rep.LimitSummaries = e.recorder.violations(), e.recorder.limitSummaries
+	rep.addTotals(e, mended, end)
 	return rep, ctx.Err()
 }
 
 // act makes acts until the calm end, several at a time and in series.
-func (w *world) act(rep *Report, began, until time.Time, acting *sync.WaitGroup) {
-	r := rand.New(rand.NewPCG(w.options.Seed, 1))
-	busy := 1 + r.IntN(together)
-	time.Sleep(settle)
+func (e *environment) runActions(rep *Report, began, until time.Time, acting *sync.WaitGroup) {
+	r := rand.New(rand.NewPCG(e.options.Seed, 1))
+	busy := 1 + r.IntN(maxConcurrentActions)
+	time.Sleep(warmUp)
 	for time.Now().Before(until) {
-		a := acts[r.IntN(len(acts))]
+		a := actions[r.IntN(len(actions))]
 		length := time.Duration(200+r.IntN(2300)) * time.Millisecond
 		own := rand.New(rand.NewPCG(r.Uint64(), 2))
 		rep.Actions = append(rep.Actions, fmt.Sprintf("%.1f %s for %v", time.Since(began).Seconds(), a.name, length))
-		acting.Go(func() { w.make(a, own, length) })
+		acting.Go(func() { e.runAction(a, own, length) })
 		time.Sleep(time.Duration(r.Int64N(int64(2 * length / time.Duration(busy)))))
 	}
 }
 
-func (w *world) make(a act, r *rand.Rand, length time.Duration) {
+func (e *environment) runAction(a action, r *rand.Rand, length time.Duration) {
 	from := time.Now()
-	b := w.boxes[r.IntN(len(w.boxes))]
-	if a.hits != nothing {
+	b := e.boxes[r.IntN(len(e.boxes))]
+	if a.affects != scopeNone {
 		// It excuses from its beginning, also while its end is not known yet.
-		w.ledger.fault(a, b.name, from, from.Add(length+restartAfter+slack))
+		e.recorder.addFault(a, b.name, from, from.Add(length+restartDelay+timingSlack))
 	}
-	a.during(w, r, b, func() { time.Sleep(length) })
+	a.run(e, r, b, func() { time.Sleep(length) })
 }
 
 // call makes requests until ctx ends, on connections that are kept.
-func (w *world) call(ctx context.Context, n int) {
-	r := rand.New(rand.NewPCG(w.options.Seed, uint64(100+n)))
+func (e *environment) runCaller(ctx context.Context, n int) {
+	r := rand.New(rand.NewPCG(e.options.Seed, uint64(100+n)))
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 	for i := 0; ctx.Err() == nil; i++ {
-		w.ask(c, r, fmt.Sprintf("q-%d-%d", n, i))
-		time.Sleep(callerRest)
+		e.sendRequest(c, r, fmt.Sprintf("q-%d-%d", n, i))
+		time.Sleep(callerPause)
 	}
 }
 
-func (w *world) ask(c *http.Client, r *rand.Rand, id string) {
-	b, org := w.boxes[r.IntN(len(w.boxes))], w.organisations[r.IntN(len(w.organisations))]
-	a := asked{box: b.name, life: b.lives(), owner: org.name}
-	a.request = standin.Request{ID: id, Key: org.key, Within: callerPatience}
+func (e *environment) sendRequest(c *http.Client, r *rand.Rand, id string) {
+	b, org := e.boxes[r.IntN(len(e.boxes))], e.organisations[r.IntN(len(e.organisations))]
+	ex := exchange{box: b.name, boxStart: b.startCount(), organisation: org.name}
+	ex.request = standin.Request{ID: id, Key: org.key, Within: callerTimeout}
 	switch r.IntN(4) {
 	case 0:
-		a.request.Path, a.request.Body, a.once = "/once/x", "body of "+id, true
+		ex.request.Path, ex.request.Body, ex.atMostOnce = "/once/x", "body of "+id, true
 	case 1:
-		a.request.Path = "/again/x"
+		ex.request.Path = "/again/x"
 	case 2:
-		a.request.Path, a.request.Body = "/stream/x", "body of "+id
+		ex.request.Path, ex.request.Body = "/stream/x", "body of "+id
 	case 3:
-		a.route = 1 + r.IntN(w.newest())
-		a.request.Path = standin.VersionPath(a.route) + "x"
+		ex.routeVersion = 1 + r.IntN(e.newestVersion())
+		ex.request.Path = standin.VersionPath(ex.routeVersion) + "x"
 	}
-	a.from = time.Now()
-	a.reply = standin.Ask(context.Background(), c, "http://"+b.callers, a.request)
-	a.to = time.Now()
-	if b.lives() != a.life {
-		a.life = unknownLife
+	ex.sentAt = time.Now()
+	ex.reply = standin.Ask(context.Background(), c, "http://"+b.callerAddress, ex.request)
+	ex.endedAt = time.Now()
+	if b.startCount() != ex.boxStart {
+		ex.boxStart = unknownStart
 	}
-	w.ledger.add(a)
+	e.recorder.addExchange(ex)
 }
 
 // unknownLife marks a request during which its box started anew.
-const unknownLife = -1
+const unknownStart = -1
 
 // count adds what was served, and whether all was at the end.
-func (rep *Report) count(w *world, mended, end time.Time) {
+func (rep *Report) addTotals(e *environment, mended, end time.Time) {
 	var last, lastServed int
-	from := end.Add(-judged)
-	for _, a := range w.ledger.asked {
+	from := end.Add(-recoveryWindow)
+	for _, ex := range e.recorder.exchanges {
 		rep.Requests++
-		if a.reply.Right {
+		if ex.reply.Right {
 			rep.Served++
 		}
-		if a.from.After(from) {
+		if ex.sentAt.After(from) {
 			last++
-			if a.reply.Right {
+			if ex.reply.Right {
 				lastServed++
 			}
 		}
