--- a/soak/box.go
+++ b/soak/box.go
@@ -13,32 +13,37 @@
 	"time"
 )
 
-// box is an entry process, started again whenever it ends.
+// box is an entry process that is restarted whenever it exits.
 type box struct {
 	name          string
 	program       string
 	settingsFile  string
 	callerAddress string
-	storeProxy    *proxy // between it and the store
-	log           io.Writer
+	// storeProxy is the proxy through which the box connects to the store.
+	storeProxy *proxy
+	log        io.Writer
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	starts  int // starts so far
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	starts int
+	// restart is true if the process is to be started again after an exit.
 	restart bool
-	exited  chan struct{} // of the present life
+	// exited is closed when the current process has exited.
+	exited chan struct{}
 }
 
-// graceful is how long a stopped process may take to end, as the platform allows.
+// stopBound is the time that the platform gives a process to exit after SIGTERM.
 const stopBound = 8 * time.Second
 
-// drainBound is the bound on work for a target that leaves, as its settings say.
+// drainBound is the time, from the settings of the box, after which a leaving target must not receive
+// new requests.
 const drainBound = 2 * time.Second
 
-// applyBound is the bound on a configuration's coming into force.
+// configApplyBound is the time within which a new configuration must come into force.
 const configApplyBound = 2 * time.Second
 
-// newBox writes the settings of a box. seeds are meeting addresses of others.
+// newBox writes the settings file of a box and creates its log. The seeds are the addresses on which
+// other boxes accept the adverts of new ones.
 func newBox(dir, program, name, hall string, ports []string, seeds []string, storeProxy *proxy) (*box, error) {
 	b := &box{name: name, program: program, callerAddress: ports[0], storeProxy: storeProxy, settingsFile: filepath.Join(dir, name+".json")}
 	log, err := os.Create(filepath.Join(dir, name+".log"))
@@ -60,8 +65,8 @@
 	return b, os.WriteFile(b.settingsFile, raw, 0o600)
 }
 
-// freePorts finds addresses that nobody listens at. They are of a loopback address of
-// the run's own, so that no other run takes them in the meantime.
+// freeAddresses returns n addresses without a listener. They are on a loopback address of the run's
+// own, derived from its seed, so that no other run takes them before the boxes listen on them.
 func freeAddresses(seed uint64, n int) ([]string, error) {
 	const octet = 250
 	own := fmt.Sprintf("127.%d.%d.1:0", 1+seed/octet%octet, 1+seed%octet)
@@ -71,13 +76,13 @@
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = l.Close() }() // only its port was wanted
+		defer func() { _ = l.Close() }() // the listener only reserves a free port
 		list = append(list, l.Addr().String())
 	}
 	return list, nil
 }
 
-// start begins a life of the process.
+// start starts the process, and has it restarted whenever it exits.
 func (b *box) start() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,7 +90,7 @@
 	return b.startLocked()
 }
 
-// begin starts the process; mu is held.
+// startLocked starts the process. The caller holds mu.
 func (b *box) startLocked() error {
 	cmd := exec.Command(b.program, "entry")
 	cmd.Env = append(os.Environ(), "CLOVERTRAIL_BOOT="+b.settingsFile)
@@ -99,40 +104,40 @@
 	return nil
 }
 
-// restartAfter is how long a process that ended stays away.
+// restartDelay is the time from the exit of a process to its restart.
 const restartDelay = 300 * time.Millisecond
 
-// await starts the process again after its end.
+// restartOnExit waits for the process to exit, and restarts it unless the box was killed.
 func (b *box) restartOnExit(cmd *exec.Cmd, exited chan struct{}) {
-	_ = cmd.Wait() // how it ended is in its log
+	_ = cmd.Wait() // the log of the box shows why it exited
 	close(exited)
 	time.Sleep(restartDelay)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.restart && b.cmd == cmd {
 		if err := b.startLocked(); err != nil {
-			_, _ = fmt.Fprintln(b.log, "not started:", err) // the run shows that it is away
+			_, _ = fmt.Fprintln(b.log, "not started:", err) // requests to the box then fail, which the report of the run shows
 		}
 	}
 }
 
-// signal sends a signal to the present life.
+// signal sends a signal to the current process.
 func (b *box) signal(s syscall.Signal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.cmd != nil {
-		_ = b.cmd.Process.Signal(s) // it may have ended a moment ago
+		_ = b.cmd.Process.Signal(s) // fails if the process has just exited
 	}
 }
 
-// lives is the number of the present life.
+// startCount returns how often the process has been started; it identifies the current process.
 func (b *box) startCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.starts
 }
 
-// end ends the process for good.
+// kill ends the process without a restart, and waits for it to exit.
 func (b *box) kill() {
 	b.mu.Lock()
 	b.restart = false
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,20 +1,20 @@
-// Package soak runs entry boxes as separate processes on one machine, breaks what is
-// round them from outside, and checks the promises from what callers and targets see.
+// Package soak runs entry boxes as separate processes on one machine, injects faults into their
+// surroundings, and checks the guarantees of the system against the records of callers and targets.
 //
-// The store, the targets and the callers are the stand-ins of platform/standin, in this
-// process. Between each box and the store, and before each target, stands a loopback
-// proxy that delays, resets, cuts one way or falls silent. Boxes are stopped, paused,
-// killed, told to read their settings again, and started anew by signals, to processes
-// that the soak started and by their ids only. What happens is drawn from a seed, comes
-// in series and overlaps; the run ends with a calm while, in which all must be served.
+// The store, the targets and the callers are the stand-ins of platform/standin, and run in this
+// process. A loopback proxy between each box and the store, and in front of each target, delays
+// data, resets connections, or drops data in one or both directions. Boxes are stopped, paused,
+// killed, made to reload their settings, and restarted. Signals are sent only to processes that the
+// soak has started, by their process ids. All actions are drawn from a seed; they follow one another
+// and overlap. Each run ends with a fault-free period, in which all requests must be served.
 //
-// Promises with a time bound are checked only where nothing that excuses was under way;
-// the others always. Clocks of processes cannot be moved here without privileges, and
-// nothing has storage; groups of ranks are not part of it (mapswitch/orders has a model
-// of them).
+// Guarantees with a time bound are checked only while no fault that excuses a violation was in
+// effect; the others are always checked. The soak does not cover changes of a process's clock, which
+// would need privileges, faults of storage, because no process has any, and groups of ranks
+// (mapswitch/orders has a model of them).
 //
 // # Usage
 //
-//	go run ./cmd/clovertrail-soak --seeds 50            # by hand
+//	go run ./cmd/clovertrail-soak --seeds 50            # on the command line
 //	report, err := soak.Run(ctx, soak.Options{Program: path, Seed: 7, Duration: 20 * time.Second})
 package soak
--- a/soak/environment.go
+++ b/soak/environment.go
@@ -11,33 +11,33 @@
 	"clovertrail.dev/platform/standin"
 )
 
-// Options are what a run is made of.
+// Options configures a run.
 type Options struct {
 	// Program is the path of the built clovertrail-node.
 	Program string
-	// Seed draws what happens.
+	// Seed is the seed of all random draws of the run.
 	Seed uint64
-	// Duration is how long the run takes, the calm end included.
+	// Duration is the length of the run, including the fault-free part at its end.
 	Duration time.Duration
-	// Boxes, Targets and Callers are how many there are; 0 is the usual number.
+	// Boxes, Targets and Callers are the numbers of each; 0 selects the default.
 	Boxes, Targets, Callers int
-	// Dir takes settings and logs.
+	// Dir is the directory to which the settings and logs of the boxes are written.
 	Dir string
-	// FatalRequests adds a caller whose request crashes each target that runs it. What else happens
-	// stays as the seed draws it.
+	// FatalRequests adds a caller whose request crashes each target that runs it. It does not change
+	// the other random draws of the seed.
 	FatalRequests bool
-	// TargetRequests lets targets ask for rest, and say with their answers that they are leaving. What
-	// else happens stays as the seed draws it.
+	// TargetRequests makes targets request rest, and report in their responses that they are leaving.
+	// It does not change the other random draws of the seed.
 	TargetRequests bool
-	// TargetLimits lets targets name limits with their answers. What else happens stays as the seed
-	// draws it.
+	// TargetLimits makes targets state request limits in their responses. It does not change the other
+	// random draws of the seed.
 	TargetLimits bool
-	// Restores lets the store come back from older copies. What else happens stays as the seed
-	// draws it.
+	// Restores makes the store be restored from older backups. It does not change the other random
+	// draws of the seed.
 	Restores bool
 }
 
-// The usual sizes of a run: a few processes, so that many runs fit on a machine.
+// Default sizes of a run: few processes, so that many runs fit on one machine.
 const (
 	defaultBoxes   = 4
 	defaultTargets = 6
@@ -57,15 +57,17 @@
 	return o
 }
 
-// host is a place for a target, one incarnation after the other.
+// host runs a target. When a target has left or crashed, a new incarnation replaces it.
 type host struct {
-	hall       string
-	lifecycle  sync.Mutex // while its target leaves or is down
-	current    incarnation
-	entryState string // as its target last wrote it
+	hall string
+	// lifecycle is locked while the target leaves or is down.
+	lifecycle sync.Mutex
+	current   incarnation
+	// entryState is the state that the target last wrote to its entry in the store.
+	entryState string
 }
 
-// incarnation is one life of a target, with the link before it.
+// incarnation is one process of a target, with the proxy in front of it.
 type incarnation struct {
 	id     string
 	target *standin.Target
@@ -73,10 +75,10 @@
 	proxy  *proxy
 }
 
-// organisation holds a key.
+// organisation is a tenant with its API key.
 type organisation struct{ name, key string }
 
-// world is all that a run has.
+// environment holds everything that a run starts: the store, the targets and the boxes.
 type environment struct {
 	options     Options
 	recorder    *recorder
@@ -84,20 +86,21 @@
 	storeServer *http.Server
 	boxes       []*box
 
-	configMu sync.Mutex // taken before mu
+	// configMu serialises writes of the configuration. Lock order: configMu, then mu.
+	configMu sync.Mutex
 
 	mu            sync.Mutex
 	hosts         []*host
 	incarnations  int
-	configVersion int // of the configuration
+	configVersion int
 	stopped       bool
 	organisations []organisation
 }
 
-// service is what there is to be routed to.
+// service is the name of the only service in the configuration.
 const service = "app"
 
-// newWorld starts all of it.
+// newEnvironment starts the store, the targets and the boxes.
 func newEnvironment(o Options) (*environment, error) {
 	e := &environment{options: o, recorder: newRecorder(), store: standin.NewStore()}
 	for n := range 3 {
@@ -121,7 +124,7 @@
 
 func startServer(l net.Listener, h http.Handler) *http.Server {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = s.Serve(l) }() // it ends when the run closes it
+	go func() { _ = s.Serve(l) }() // returns when the run closes the server
 	return s
 }
 
@@ -153,7 +156,7 @@
 	return nil
 }
 
-// addHost starts a target.
+// addHost adds a host in hall n modulo the number of halls, and starts its first target.
 func (e *environment) addHost(n int) error {
 	h := &host{hall: hallName(n)}
 	e.mu.Lock()
@@ -162,7 +165,7 @@
 	return e.startTarget(h)
 }
 
-// begin starts the next incarnation at the host.
+// startTarget starts the next incarnation on the host, and writes its entry to the store.
 func (e *environment) startTarget(h *host) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -185,7 +188,7 @@
 	return e.writeEntry(h, in, "ready")
 }
 
-// list writes a target's entry.
+// writeEntry writes the target's entry to the store.
 func (e *environment) writeEntry(h *host, in incarnation, state string) error {
 	e.mu.Lock()
 	if h.current.id == in.id {
@@ -200,20 +203,21 @@
 	return in.target.Object(in.proxy.address(), h.hall, state)
 }
 
-// end closes what the incarnation listens at.
+// close closes the listeners of the incarnation.
 func (in incarnation) close() {
 	in.proxy.close()
-	_ = in.server.Close() // it is gone either way
+	_ = in.server.Close() // the server is discarded even if this fails
 }
 
-// replace puts a new incarnation in the place of one that has left.
+// replaceTarget removes an incarnation that has left or crashed, and starts a new one on its host.
 func (e *environment) replaceTarget(h *host, in incarnation) error {
 	e.store.Remove("servers", in.id)
 	in.close()
 	return e.startTarget(h)
 }
 
-// configure writes the next configuration: each version adds a route of its own.
+// writeNextConfiguration writes the next version of the configuration to the store. Each version
+// adds a route of its own.
 func (e *environment) writeNextConfiguration() error {
 	e.configMu.Lock()
 	defer e.configMu.Unlock()
@@ -228,7 +232,7 @@
 	return nil
 }
 
-// put writes the configuration of the version.
+// writeConfiguration writes the given version of the configuration to the store.
 func (e *environment) writeConfiguration(version int) error {
 	_, err := e.store.Put("config", "main", e.configuration(version))
 	return err
@@ -252,7 +256,7 @@
 	return e.configVersion
 }
 
-// end stops everything that the run started.
+// close stops everything that the run started.
 func (e *environment) close() {
 	e.mu.Lock()
 	e.stopped = true
@@ -264,5 +268,5 @@
 	for _, h := range e.hosts {
 		h.current.close()
 	}
-	_ = e.storeServer.Close() // the run is over
+	_ = e.storeServer.Close() // the run has ended, so an error has no consequence
 }
--- a/soak/recorder.go
+++ b/soak/recorder.go
@@ -11,45 +11,60 @@
 	"clovertrail.dev/platform/standin"
 )
 
-// span is a time in which something was wrong or under way.
+// span is a period during which a fault or a planned stop was in effect.
 type span struct {
-	name     string
-	affects  faultScope
-	box      string // that was drawn
+	name    string
+	affects faultScope
+	// box is the name of the box on which the action ran; empty if it concerns no single box.
+	box      string
 	from, to time.Time
 }
 
-// asked is a request with what came of it.
+// exchange is a request by a caller, and its result.
 type exchange struct {
-	request         standin.Request
-	organisation    string // of its key
-	atMostOnce      bool
-	routeVersion    int // the version of the configuration that brought the route
-	box             string
-	boxStart        int // of the box, when it was asked
+	request standin.Request
+	// organisation is the owner of the API key in the request.
+	organisation string
+	atMostOnce   bool
+	// routeVersion is the version of the configuration that added the route; 0 if every version has it.
+	routeVersion int
+	box          string
+	// boxStart is the start count of the box when the request was sent; unknownStart if the box was
+	// restarted before the response ended.
+	boxStart        int
 	sentAt, endedAt time.Time
 	reply           standin.Reply
 }
 
-// Violation is a promise that was seen broken.
+// Violation is an observed violation of a guarantee.
 type Violation struct {
 	Guarantee string
 	Details   string
 }
 
-// ledger keeps what was seen. Its methods may be called from any goroutine.
+// recorder records requests, faults and the state of the environment, for the checks after the run.
+// All its add and mark methods may be called from any goroutine.
 type recorder struct {
-	mu                sync.Mutex
-	runs              map[string][]standin.Run // by request
-	exchanges         []exchange
-	faults            []span               // faults; planned work is not among them
-	stops             map[string][]span    // planned stops, by box
-	drainingSince     map[string]time.Time // when the store took that a target leaves
-	configStoredAt    map[int]time.Time    // when the store took a version
-	rejected          []standin.Turned     // requests that targets turned away which ask for rest
-	leavingReportedAt map[string]time.Time // when a target began to say with its answers that it leaves
-	limitPeriods      []limitPeriod        // times in which targets named limits
-	limitSummaries    []string             // what was sent in them
+	mu sync.Mutex
+	// runs are the executions of requests by targets, by request id.
+	runs      map[string][]standin.Run
+	exchanges []exchange
+	// faults are all injected faults; planned work, such as stops, is not included.
+	faults []span
+	// stops are the planned stops, by box.
+	stops map[string][]span
+	// drainingSince has the times at which the store accepted the draining state, by target.
+	drainingSince map[string]time.Time
+	// configStoredAt has the times at which the store accepted a configuration, by version.
+	configStoredAt map[int]time.Time
+	// rejected are the requests that targets rejected while they requested rest.
+	rejected []standin.Turned
+	// leavingReportedAt has the times from which targets reported in their responses that they are
+	// leaving, by target.
+	leavingReportedAt map[string]time.Time
+	limitPeriods      []limitPeriod
+	// limitSummaries describe the requests sent in each limit period.
+	limitSummaries []string
 }
 
 func newRecorder() *recorder {
@@ -95,15 +110,14 @@
 	rec.configStoredAt[version] = time.Now()
 }
 
-// contact is how long all must have been calm before a bound in time holds.
+// contactBound is the time without faults after which guarantees with a time bound hold.
 const contactBound = 3 * time.Second
 
-// slack is what the bounds are widened by, for a machine that is busy with the run
-// itself.
+// timingSlack is added to all time bounds, because the run itself loads the machine.
 const timingSlack = 1500 * time.Millisecond
 
-// calm reports that nothing was wrong with the subjects, as the box meets them, from
-// contact before the one time until the other.
+// faultFree returns true if no fault of the given scopes affected the box from contactBound before
+// the first time until the second.
 func (rec *recorder) faultFree(box string, from, to time.Time, with ...faultScope) bool {
 	for _, s := range rec.faults {
 		own := s.box == box || s.affects == scopeStore || s.affects == scopeTarget
@@ -114,13 +128,13 @@
 	return true
 }
 
-// violations checks all that was seen.
+// violations checks all guarantees against the records.
 func (rec *recorder) violations() []Violation {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	var list []Violation
-	violate := func(promise, format string, args ...any) {
-		list = append(list, Violation{promise, fmt.Sprintf(format, args...)})
+	violate := func(guarantee, format string, args ...any) {
+		list = append(list, Violation{guarantee, fmt.Sprintf(format, args...)})
 	}
 	for _, ex := range rec.exchanges {
 		rec.checkReply(ex, violate)
@@ -134,7 +148,8 @@
 	return list
 }
 
-type violationFunc func(promise, format string, args ...any)
+// violationFunc records a violation of the named guarantee.
+type violationFunc func(guarantee, format string, args ...any)
 
 func (rec *recorder) checkReply(ex exchange, violate violationFunc) {
 	runs := rec.runs[ex.request.ID]
@@ -163,8 +178,8 @@
 	}
 }
 
-// checkRefusal looks for a caller that was turned away for want of room and not told when
-// to come again.
+// checkRetryAfter reports a response that rejects a request for lack of capacity without stating when
+// to retry.
 func checkRetryAfter(ex exchange, violate violationFunc) {
 	full := ex.reply.Status == http.StatusServiceUnavailable || ex.reply.Status == http.StatusTooManyRequests
 	if full && ex.reply.Again <= 0 {
@@ -172,7 +187,8 @@
 	}
 }
 
-// checkLeaving looks for work that came to a target which had left.
+// checkDraining reports requests that reached a target more than drainBound after its entry in the
+// store changed to draining.
 func (rec *recorder) checkDraining(ex exchange, violate violationFunc) {
 	for _, r := range rec.runs[ex.request.ID] {
 		at, left := rec.drainingSince[r.Target]
@@ -183,8 +199,8 @@
 	}
 }
 
-// checkConfigurations looks for boxes that went back to an older configuration, or were
-// late to take one.
+// checkConfigurations reports boxes that went back to an older configuration, or applied one too
+// late.
 func (rec *recorder) checkConfigurations(violate violationFunc) {
 	list := append([]exchange(nil), rec.exchanges...)
 	sort.Slice(list, func(i, j int) bool { return list[i].sentAt.Before(list[j].sentAt) })
@@ -192,7 +208,7 @@
 		box string
 		n   int
 	}
-	newest := map[process]exchange{} // the newest version that it has shown
+	newest := map[process]exchange{} // the exchange with the newest route that the process has served
 	for _, ex := range list {
 		if ex.boxStart == unknownStart {
 			continue
--- a/soak/target_limits.go
+++ b/soak/target_limits.go
@@ -11,23 +11,25 @@
 )
 
 const (
-	// limitFor is for how long targets name a limit, and limitPause the longest pause before the
-	// next do.
+	// limitDuration is the time for which targets state a limit, and maxLimitPause the longest pause
+	// before the next limit period.
 	limitDuration, maxLimitPause = 9 * time.Second, time.Second
-	// limitWindow is the time in which what reaches a target is added up. It bears limitOver times
-	// its limit in that time, and limitSlack requests more.
+	// limitWindow is the length of the windows in which the requests that reach a target are counted.
+	// A target may receive limitFactor times its limit in a window, plus limitAllowance requests.
 	limitWindow                 = 4 * time.Second
 	limitFactor, limitAllowance = 1.5, 5
-	// limitTold is how long after it passed on an answer that named the limit a box counts.
+	// limitDelay is the time from a box's first forwarded response with the limit to the first of its
+	// requests that count.
 	limitDelay = 500 * time.Millisecond
-	// limitLeast is the part of what a target takes that it gets at least while nothing is wrong.
+	// minLimitShare is the minimum share of its limit that a target receives while there are no
+	// faults.
 	minLimitShare = 0.5
 )
 
-// limits are what targets take, in requests a second from all boxes.
+// limitValues are the limits of targets, in requests a second from all boxes together.
 var limitValues = []float64{0, 0.3, 1, 2.5, 8, 40}
 
-// limited is a time for which a target named a limit.
+// limitPeriod is a period during which a target stated a limit.
 type limitPeriod struct {
 	target    string
 	perSecond float64
@@ -35,7 +37,8 @@
 	arrivals  []standin.Arrival
 }
 
-// limiting lets some targets, or all, name a limit for a while, over and over until ctx ends.
+// runTargetLimits makes some or all targets state a limit for limitDuration, repeatedly. It ends with
+// ctx, or when too little time is left before until.
 func (e *environment) runTargetLimits(ctx context.Context, until time.Time) {
 	r := rand.New(rand.NewPCG(e.options.Seed, 5))
 	for time.Now().Add(limitDuration).Before(until) && ctx.Err() == nil {
@@ -57,7 +60,7 @@
 	}
 }
 
-// draw draws the present incarnations of so many hosts.
+// pickIncarnations draws n hosts, and returns their current incarnations.
 func (e *environment) pickIncarnations(r *rand.Rand, n int) []incarnation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,19 +77,20 @@
 	rec.limitPeriods = append(rec.limitPeriods, x)
 }
 
-// borne is how many requests the target bears in a window.
+// maxInWindow returns the number of requests that the target may receive in a window.
 func (x limitPeriod) maxInWindow() int {
 	return int(x.perSecond*limitWindow.Seconds()*limitFactor + limitAllowance)
 }
 
-// arrival is a request that reached a target, with what came of it.
+// arrival is a request that reached a target, with the caller's side of the exchange.
 type arrival struct {
 	at       time.Time
 	exchange exchange
 }
 
-// told are the arrivals of boxes that knew the limit by an answer that they had passed on, and with
-// which nothing was wrong, from when all may know on.
+// arrivalsAfterNotice returns the times of requests from boxes that had the limit, because they had
+// forwarded a response that stated it, and that no fault affected. Requests count from contactBound
+// after the start of the period, when all boxes can have the limit.
 func (rec *recorder) arrivalsAfterNotice(x limitPeriod, all []arrival) []time.Time {
 	first := map[boxProcess]time.Time{}
 	for _, a := range all {
@@ -105,7 +109,7 @@
 	return list
 }
 
-// during are the arrivals at the target in the time, in their order.
+// arrivalsDuring returns the arrivals at the target in the period, in order.
 func (rec *recorder) arrivalsDuring(x limitPeriod) []arrival {
 	byID := map[string]exchange{}
 	for _, ex := range rec.exchanges {
@@ -120,13 +124,14 @@
 	return list
 }
 
-// checkLimits looks for targets that were sent more than they bear, or much less than they take
-// although nothing was wrong. It notes what was sent beside what is allowed and what was served.
+// checkLimits reports targets that received more than maxInWindow in a window, or less than
+// minLimitShare of their limit although there were no faults. It also records how many requests were
+// allowed, sent and served in each period.
 func (rec *recorder) checkLimits(violate violationFunc) {
 	for _, x := range rec.limitPeriods {
 		all := rec.arrivalsDuring(x)
 		served := 0
-		var late []time.Time // by all boxes, from when all may know
+		var late []time.Time // from any box, once all boxes can have the limit
 		for _, a := range all {
 			if a.exchange.reply.Right {
 				served++
@@ -148,7 +153,8 @@
 	}
 }
 
-// undisturbed reports that nothing was wrong with anything while the target named its limit.
+// undisturbed returns true if there was no fault or planned stop anywhere during the period, and the
+// target was not leaving.
 func (rec *recorder) undisturbed(x limitPeriod) bool {
 	for _, s := range rec.faults {
 		if s.from.Before(x.to) && s.to.After(x.from.Add(-contactBound)) {
@@ -166,7 +172,7 @@
 	return !left
 }
 
-// worstWindow is the most of the times within a window.
+// busiestWindow returns the largest number of the times that are within one window.
 func busiestWindow(times []time.Time) int {
 	most, first := 0, 0
 	for i, t := range times {
--- a/soak/target_requests.go
+++ b/soak/target_requests.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// askRest is for how long a target asks to be sent nothing, and restSlack how long after its
-	// answer a box may still send it something: what is under way, and a box that is busy.
+	// requestedRest is the time for which a target requests rest. Until restGrace after the response,
+	// requests from the box that received it are not counted: some are already under way, and a busy
+	// box is slow to react.
 	requestedRest = 5 * time.Second
 	restGrace     = 500*time.Millisecond + timingSlack
-	// restMost is how many requests a box may send it in the rest of that time.
+	// maxRequestsInRest is the number of requests that a box may send to the target in the remainder
+	// of that time.
 	maxRequestsInRest = 2
-	// askFor is for how long a target turns requests away.
+	// rejectDuration is the time for which a target rejects requests.
 	rejectDuration = 6 * time.Second
-	// askPause is the longest pause between two targets that ask for something.
+	// maxTargetRequestPause is the longest pause between requests of two targets.
 	maxTargetRequestPause = 2 * time.Second
 )
 
-// asking lets one target after another ask something of the boxes with its answers, until ctx
-// ends: to be sent nothing for a while, or nothing any more.
+// runTargetRequests makes one target after another request rest, or report that it is leaving, in its
+// responses to the boxes. It ends with ctx, or when too little time is left before until.
 func (e *environment) runTargetRequests(ctx context.Context, until time.Time) {
 	r := rand.New(rand.NewPCG(e.options.Seed, 4))
 	for time.Now().Add(rejectDuration).Before(until) && ctx.Err() == nil {
@@ -35,7 +37,8 @@
 	}
 }
 
-// askForRest lets a target turn all requests away for a while and ask for rest.
+// requestRest makes a target reject all requests for rejectDuration, and request rest in the
+// responses.
 func (e *environment) requestRest(r *rand.Rand) {
 	_, in := e.pickHost(r)
 	e.recorder.addFault(action{name: "target asks for rest", affects: scopeTarget}, "", time.Now(), time.Now().Add(rejectDuration+timingSlack))
@@ -45,8 +48,8 @@
 	e.recorder.addRejected(in.target.Turned())
 }
 
-// sayLeaving lets a target report that it is leaving with its answers only, and puts another in its
-// place later.
+// reportLeaving makes a target report that it is leaving in its responses only, not in the store, and
+// replaces it later.
 func (e *environment) reportLeaving(r *rand.Rand) {
 	h, in := e.pickIdleHost(r)
 	if h == nil {
@@ -56,7 +59,7 @@
 	in.target.Behave(func(x *standin.Habits) { x.Leaving = true })
 	e.recorder.markLeavingReported(in.id)
 	time.Sleep(serveAfterLeaving)
-	_ = e.replaceTarget(h, in) // without it there is one target fewer
+	_ = e.replaceTarget(h, in) // if this fails, the run goes on with one target fewer
 }
 
 func (rec *recorder) addRejected(list []standin.Turned) {
@@ -71,13 +74,14 @@
 	rec.leavingReportedAt[target] = time.Now()
 }
 
-// start is one start of a box.
+// boxProcess identifies a process of a box by its start count.
 type boxProcess struct {
 	box   string
 	start int
 }
 
-// checkRests looks for boxes that went on sending to a target which had asked them for rest.
+// checkRest reports boxes that went on sending requests to a target that had requested rest from
+// them.
 func (rec *recorder) checkRest(violate violationFunc) {
 	byID := map[string]boxProcess{}
 	for _, ex := range rec.exchanges {
@@ -100,8 +104,9 @@
 	}
 }
 
-// checkSaid looks for work that a box took for a target too late after it had passed on an answer
-// in which that said it is leaving.
+// checkLeavingReported reports requests that a box accepted, and that reached a leaving target, more
+// than drainBound after the box had forwarded a response in which the target reported that it is
+// leaving.
 func (rec *recorder) checkLeavingReported(violate violationFunc) {
 	type forward struct {
 		boxProcess
