--- a/soak/actions.go
+++ b/soak/actions.go
@@ -8,27 +8,32 @@
 	"clovertrail.dev/platform/standin"
 )
 
-// subject is what a trouble strikes, and so which promises it excuses.
+// faultScope is the component that a fault affects. It decides which violations of guarantees the
+// fault excuses.
 type faultScope int
 
 const (
-	scopeNone     faultScope = iota
-	scopeBox                 // the box that was drawn
-	scopeBoxStore            // the store, for that box
-	scopeStore               // the store, for all
+	scopeNone faultScope = iota
+	// scopeBox is the box that was drawn.
+	scopeBox
+	// scopeBoxStore is the connection of the box that was drawn to the store.
+	scopeBoxStore
+	// scopeStore is the store, for all boxes.
+	scopeStore
 	scopeTarget
 )
 
-// act is something that happens to the world, for a while.
+// action is a fault or planned work that lasts for some time.
 type action struct {
 	name string
-	// hits is what it is trouble for; planned work is trouble for nothing.
+	// affects is the scope of the fault; scopeNone for planned work.
 	affects faultScope
-	// during makes it, waits until done is closed or its time has passed, and mends it.
+	// run injects the fault, calls wait, which returns at the end of the action, and removes the fault.
 	run func(e *environment, r *rand.Rand, _ *box, wait func())
 }
 
-// acts are all that may happen. Those more often met on real platforms stand twice.
+// actions are all actions that may be drawn. Those that are more frequent on real platforms are listed
+// twice.
 var actions = []action{
 	{"kill", scopeBox, signalBox(syscall.SIGKILL)},
 	{"kill", scopeBox, signalBox(syscall.SIGKILL)},
@@ -56,8 +61,8 @@
 	{"target leaves", scopeNone, drainTarget},
 	{"target leaves", scopeNone, drainTarget},
 	{"target crashes", scopeTarget, crashTarget},
-	{"configuration", scopeNone, func(e *environment, _ *rand.Rand, _ *box, _ func()) { _ = e.writeNextConfiguration() }}, // an error would show as a version that nobody has
-	{"configuration", scopeNone, func(e *environment, _ *rand.Rand, _ *box, _ func()) { _ = e.writeNextConfiguration() }}, // an error would show as a version that nobody has
+	{"configuration", scopeNone, func(e *environment, _ *rand.Rand, _ *box, _ func()) { _ = e.writeNextConfiguration() }}, // after an error, no box has the version, which the checks report
+	{"configuration", scopeNone, func(e *environment, _ *rand.Rand, _ *box, _ func()) { _ = e.writeNextConfiguration() }}, // after an error, no box has the version, which the checks report
 }
 
 func signalBox(s syscall.Signal) func(*environment, *rand.Rand, *box, func()) {
@@ -73,7 +78,8 @@
 	b.signal(syscall.SIGCONT)
 }
 
-// stopBox is a planned stop; the platform kills what does not end in time.
+// stopBox makes a planned stop of the box. As on the platform, a process that does not exit in time
+// is killed.
 func stopBox(e *environment, _ *rand.Rand, b *box, _ func()) {
 	b.mu.Lock()
 	exited, starts := b.exited, b.starts
@@ -117,17 +123,17 @@
 	}
 }
 
-func withHabits(begin, end func(*standin.Habits)) func(*environment, *rand.Rand, *box, func()) {
+func withHabits(apply, revert func(*standin.Habits)) func(*environment, *rand.Rand, *box, func()) {
 	return func(e *environment, r *rand.Rand, _ *box, wait func()) {
 		_, in := e.pickHost(r)
 		t := in.target
-		t.Behave(begin)
+		t.Behave(apply)
 		wait()
-		t.Behave(end)
+		t.Behave(revert)
 	}
 }
 
-// host draws a host, and gives its present incarnation.
+// pickHost draws a host, and returns it with its current incarnation.
 func (e *environment) pickHost(r *rand.Rand) (*host, incarnation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,8 +141,8 @@
 	return h, h.current
 }
 
-// alone draws a host whose target neither leaves nor is down; nil if the one that was
-// drawn does. The caller unlocks it.
+// pickIdleHost draws a host and locks its lifecycle. It returns nil if the target of the host that was
+// drawn is leaving or down. The caller unlocks the lifecycle.
 func (e *environment) pickIdleHost(r *rand.Rand) (*host, incarnation) {
 	h, _ := e.pickHost(r)
 	if !h.lifecycle.TryLock() {
@@ -147,11 +153,11 @@
 	return h, h.current
 }
 
-// servesOn is how long a target serves on after it reported that it is leaving: long
-// enough that work which comes too late is seen.
+// serveAfterLeaving is the time for which a target goes on serving after it reported that it is
+// leaving: long enough to record requests that arrive after the bound.
 const serveAfterLeaving = drainBound + timingSlack + 3*time.Second
 
-// leave drains a target and puts another in its place.
+// drainTarget sets a target's entry to draining, and replaces the target later.
 func drainTarget(e *environment, r *rand.Rand, _ *box, _ func()) {
 	h, in := e.pickIdleHost(r)
 	if h == nil {
@@ -163,10 +169,10 @@
 	}
 	e.recorder.markDraining(in.id)
 	time.Sleep(serveAfterLeaving)
-	_ = e.replaceTarget(h, in) // without it there is one target fewer
+	_ = e.replaceTarget(h, in) // if this fails, the run goes on with one target fewer
 }
 
-// crash takes a target down without a word; its entry lags.
+// crashTarget takes a target down without notice. Its entry stays in the store until it is replaced.
 func crashTarget(e *environment, r *rand.Rand, _ *box, wait func()) {
 	h, in := e.pickIdleHost(r)
 	if h == nil {
@@ -176,5 +182,5 @@
 	in.proxy.setMode(refuseConnections)
 	in.proxy.resetAll()
 	wait()
-	_ = e.replaceTarget(h, in) // without it there is one target fewer
+	_ = e.replaceTarget(h, in) // if this fails, the run goes on with one target fewer
 }
--- a/soak/box.go
+++ b/soak/box.go
@@ -44,15 +44,15 @@
 
 // newBox writes the settings file of a box and creates its log. The seeds are the addresses on which
 // other boxes accept the adverts of new ones.
-func newBox(dir, program, name, hall string, ports []string, seeds []string, storeProxy *proxy) (*box, error) {
-	b := &box{name: name, program: program, callerAddress: ports[0], storeProxy: storeProxy, settingsFile: filepath.Join(dir, name+".json")}
+func newBox(dir, program, name, hall string, addresses []string, seeds []string, storeProxy *proxy) (*box, error) {
+	b := &box{name: name, program: program, callerAddress: addresses[0], storeProxy: storeProxy, settingsFile: filepath.Join(dir, name+".json")}
 	log, err := os.Create(filepath.Join(dir, name+".log"))
 	if err != nil {
 		return nil, err
 	}
 	b.log = log
 	raw, err := json.Marshal(map[string]any{
-		"box": name, "hall": hall, "callers": ports[0], "ready": ports[1], "peers": ports[2], "meeting": ports[3],
+		"box": name, "hall": hall, "callers": addresses[0], "ready": addresses[1], "peers": addresses[2], "meeting": addresses[3],
 		"seeds": seeds, "store": storeProxy.address(),
 		"bounds": map[string]any{
 			"drain": drainBound.String(), "stop": stopBound.String(), "config_apply": configApplyBound.String(),
@@ -69,10 +69,10 @@
 // own, derived from its seed, so that no other run takes them before the boxes listen on them.
 func freeAddresses(seed uint64, n int) ([]string, error) {
 	const octet = 250
-	own := fmt.Sprintf("127.%d.%d.1:0", 1+seed/octet%octet, 1+seed%octet)
+	loopback := fmt.Sprintf("127.%d.%d.1:0", 1+seed/octet%octet, 1+seed%octet)
 	list := make([]string, 0, n)
 	for range n {
-		l, err := net.Listen("tcp", own)
+		l, err := net.Listen("tcp", loopback)
 		if err != nil {
 			return nil, err
 		}
--- a/soak/environment.go
+++ b/soak/environment.go
@@ -134,7 +134,7 @@
 	if err := os.MkdirAll(e.options.Dir, 0o700); err != nil {
 		return err
 	}
-	ports, err := freeAddresses(e.options.Seed, 4*e.options.Boxes)
+	addresses, err := freeAddresses(e.options.Seed, 4*e.options.Boxes)
 	if err != nil {
 		return err
 	}
@@ -143,8 +143,8 @@
 		if err != nil {
 			return err
 		}
-		own := ports[4*n : 4*n+4]
-		b, err := newBox(e.options.Dir, e.options.Program, fmt.Sprintf("box-%d", n), hallName(n), own, []string{ports[3], ports[7%len(ports)]}, p)
+		boxAddresses := addresses[4*n : 4*n+4]
+		b, err := newBox(e.options.Dir, e.options.Program, fmt.Sprintf("box-%d", n), hallName(n), boxAddresses, []string{addresses[3], addresses[7%len(addresses)]}, p)
 		if err != nil {
 			return err
 		}
--- a/soak/fatal_requests.go
+++ b/soak/fatal_requests.go
@@ -14,18 +14,20 @@
 const (
 	// fatalBody is the body of the requests that crash their targets.
 	fatalBody = "fatal"
-	// crashAfter is how long a target runs one before it crashes.
+	// crashAfter is the time from the start of such a request to the crash of its target.
 	crashAfter = 60 * time.Millisecond
-	// backAfter is how long a target that crashed is away.
+	// replaceAfter is the time from a crash to the start of the next incarnation.
 	replaceAfter = 3 * time.Second
-	// fatalRest is the pause of the caller between two of them, spread by half either way.
+	// fatalPause is the mean pause of the caller between two such requests; it varies by half in either
+	// direction.
 	fatalPause = 300 * time.Millisecond
-	// crashesKnown is how many targets must have ended under them for boxes to know, and
-	// mostLate how many of them may be run after that.
+	// crashesToQuarantine is the number of runs that crashed their targets after which boxes must put
+	// the request in quarantine; maxLateRuns is the number of further runs that are tolerated.
 	crashesToQuarantine, maxLateRuns = 3, 3
 )
 
-// crashes makes the target end under requests with fatalBody.
+// crashOnFatal makes the target crash when it runs requests with fatalBody, and be replaced after
+// replaceAfter.
 func (e *environment) crashOnFatal(h *host, in incarnation) {
 	in.target.Behave(func(x *standin.Habits) { x.Fatal, x.Crash = fatalBody, crashAfter })
 	in.target.OnCrash(func() {
@@ -35,16 +37,17 @@
 			h.lifecycle.Lock()
 			defer h.lifecycle.Unlock()
 			e.mu.Lock()
-			still := h.current.id == in.id && !e.stopped
+			running := h.current.id == in.id && !e.stopped
 			e.mu.Unlock()
-			if still {
-				_ = e.replaceTarget(h, in) // without it there is one target fewer
+			if running {
+				_ = e.replaceTarget(h, in) // if this fails, the run goes on with one target fewer
 			}
 		})
 	})
 }
 
-// callFatal makes the same fatal request over and over until ctx ends, at any box.
+// sendFatalRequests sends the same fatal request to boxes drawn at random, repeatedly until ctx
+// ends.
 func (e *environment) sendFatalRequests(ctx context.Context) {
 	r := rand.New(rand.NewPCG(e.options.Seed, 3))
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
@@ -60,7 +63,8 @@
 	}
 }
 
-// checkFatal looks for requests that went on crashing targets once boxes could know.
+// checkFatalRequests reports requests that went on crashing targets after boxes had the time to put
+// them in quarantine.
 func (rec *recorder) checkFatalRequests(violate violationFunc) {
 	type run struct {
 		at  time.Time
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -8,29 +8,35 @@
 	"time"
 )
 
-// weather is what a link does to what passes.
+// proxyMode is the fault that a proxy injects.
 type proxyMode int
 
 const (
-	passThrough       proxyMode = iota
-	slowLink                    // every piece comes late
-	blackhole                   // nothing passes either way, and nobody is told
-	dropResponses               // what the far side says does not pass
-	resetOnData                 // connections are reset as soon as something passes
-	resetOnResponse             // requests pass, and what is answered resets the connection
-	refuseConnections           // new connections are closed at once
+	passThrough proxyMode = iota
+	// slowLink delays all data by slowLinkDelay.
+	slowLink
+	// blackhole drops all data in both directions, without an error on either side.
+	blackhole
+	// dropResponses drops data from upstream, without an error on either side.
+	dropResponses
+	// resetOnData resets a connection on the first data in either direction.
+	resetOnData
+	// resetOnResponse forwards requests, and resets the connection on data from upstream.
+	resetOnResponse
+	// refuseConnections resets new connections at once.
+	refuseConnections
 )
 
 func (mode proxyMode) String() string {
 	return [...]string{"fair", "slow", "silent", "one way", "resets", "lost answers", "refuses"}[mode]
 }
 
-// slowBy is how late a slow link is: longer than the way between data halls, shorter
-// than a caller's patience.
+// slowLinkDelay is longer than the latency between data halls, and shorter than the time-out of
+// callers.
 const slowLinkDelay = 60 * time.Millisecond
 
-// link is a loopback proxy before one address. Connections that were silent stay so:
-// what they swallowed is lost.
+// proxy is a loopback proxy in front of one upstream address. Data that was dropped is lost for good,
+// also when the connection goes on in another mode.
 type proxy struct {
 	listener net.Listener
 	upstream string
@@ -64,7 +70,7 @@
 	return p.mode
 }
 
-// drop resets all connections, as a process that crashes does.
+// resetAll resets all connections, as the crash of a process does.
 func (p *proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +80,7 @@
 }
 
 func (p *proxy) close() {
-	_ = p.listener.Close() // it is given up either way
+	_ = p.listener.Close() // the listener is discarded even if this fails
 	p.resetAll()
 }
 
@@ -107,7 +113,7 @@
 	p.closeAll(downstream, upstream)
 }
 
-// hold keeps the connections for drop.
+// track adds the connections to those that resetAll resets.
 func (p *proxy) track(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,12 +126,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
-		_ = c.Close() // both directions are over
+		_ = c.Close() // both directions have ended, so an error has no consequence
 		delete(p.conns, c)
 	}
 }
 
-// pass moves bytes one way; back reports that it is the way of answers.
+// copyData forwards data in one direction; response is true for data from upstream.
 func (p *proxy) copyData(to, from net.Conn, response bool) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -144,11 +150,11 @@
 	}
 }
 
-// piece passes some bytes as the weather is; false if the connection is gone.
+// copyChunk forwards a chunk of data as the mode says. It returns false if the connection has ended.
 func (p *proxy) copyChunk(to, from net.Conn, chunk []byte, response bool) bool {
 	switch mode := p.currentMode(); {
 	case mode == blackhole, mode == dropResponses && response:
-		return true // swallowed
+		return true // dropped
 	case mode == resetOnData, mode == resetOnResponse && response:
 		reset(to)
 		reset(from)
@@ -162,14 +168,14 @@
 
 func closeWrite(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.CloseWrite() // a connection that is gone is closed already
+		_ = t.CloseWrite() // fails if the connection is closed already
 	}
 }
 
-// reset closes the connection so that the peer is told at once.
+// reset closes the connection with a TCP reset, so that the peer sees an error at once.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // without it the close is only less sudden
+		_ = t.SetLinger(0) // without it the connection is closed without a reset
 	}
-	_ = c.Close() // it is given up either way
+	_ = c.Close() // the connection is discarded even if this fails
 }
--- a/soak/recorder.go
+++ b/soak/recorder.go
@@ -57,7 +57,7 @@
 	drainingSince map[string]time.Time
 	// configStoredAt has the times at which the store accepted a configuration, by version.
 	configStoredAt map[int]time.Time
-	// rejected are the requests that targets rejected while they requested rest.
+	// rejected are the requests that were rejected by targets which have requested rest.
 	rejected []standin.Turned
 	// leavingReportedAt has the times from which targets reported in their responses that they are
 	// leaving, by target.
@@ -118,10 +118,10 @@
 
 // faultFree returns true if no fault of the given scopes affected the box from contactBound before
 // the first time until the second.
-func (rec *recorder) faultFree(box string, from, to time.Time, with ...faultScope) bool {
+func (rec *recorder) faultFree(box string, from, to time.Time, scopes ...faultScope) bool {
 	for _, s := range rec.faults {
-		own := s.box == box || s.affects == scopeStore || s.affects == scopeTarget
-		if own && slices.Contains(with, s.affects) && s.from.Before(to) && s.to.After(from.Add(-contactBound)) {
+		relevant := s.box == box || s.affects == scopeStore || s.affects == scopeTarget
+		if relevant && slices.Contains(scopes, s.affects) && s.from.Before(to) && s.to.After(from.Add(-contactBound)) {
 			return false
 		}
 	}
@@ -191,9 +191,9 @@
 // store changed to draining.
 func (rec *recorder) checkDraining(ex exchange, violate violationFunc) {
 	for _, r := range rec.runs[ex.request.ID] {
-		at, left := rec.drainingSince[r.Target]
+		at, draining := rec.drainingSince[r.Target]
 		bound := at.Add(drainBound + timingSlack)
-		if left && r.At.After(bound) && rec.faultFree(ex.box, at, r.At, scopeBox, scopeBoxStore, scopeStore) {
+		if draining && r.At.After(bound) && rec.faultFree(ex.box, at, r.At, scopeBox, scopeBoxStore, scopeStore) {
 			violate("draining", "%s by %s ran at %s %v after that was leaving", ex.request.ID, ex.box, r.Target, r.At.Sub(at))
 		}
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -12,36 +12,40 @@
 )
 
 const (
-	// settle is how long the world has before the first act.
+	// warmUp is the time from the start of the run to the first action.
 	warmUp = 2 * time.Second
-	// calmEnd is how long the world is left alone at the end: a process that was killed
-	// last is back, and the last bounds have passed.
+	// coolDown is the fault-free time at the end of a run: long enough for the process that was killed
+	// last to be back, and for the last bounds to pass.
 	coolDown = 6 * time.Second
-	// judged is the part of the calm end in which all must be served.
+	// recoveryWindow is the last part of coolDown, in which requests must be served.
 	recoveryWindow = 2 * time.Second
-	// callerPatience is the time that callers have.
+	// callerTimeout is the time-out of callers.
 	callerTimeout = 3 * time.Second
-	// callerRest is the pause of a caller between two requests.
+	// callerPause is the pause of a caller between two requests.
 	callerPause = 25 * time.Millisecond
-	// together bounds how many acts are under way at once, most often; some runs are
-	// quieter, so that promises with a bound in time are put to the test as well.
+	// maxConcurrentActions limits the average number of actions in progress at once. Each run draws a
+	// number up to it: with fewer actions, guarantees with a time bound are checked as well.
 	maxConcurrentActions = 4
 )
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
-	Seed           uint64
-	Requests       int // requests
-	Served         int
-	Actions        []string // what happened, with the second at which it began
-	LimitSummaries []string // what targets that named limits were sent
+	Seed     uint64
+	Requests int
+	// Served is the number of requests that received their complete response.
+	Served int
+	// Actions lists the actions of the run, with their start in seconds and their length.
+	Actions []string
+	// LimitSummaries describe the requests that targets received while they stated a limit.
+	LimitSummaries []string
 	Violations     []Violation
 }
 
-// MinDuration is the shortest run in which something happens.
+// MinDuration is the shortest duration of a run that leaves time for actions.
 const MinDuration = warmUp + coolDown + 2*time.Second
 
-// Run makes one run.
+// Run runs the soak once, and returns its report. It returns an error if the environment cannot be
+// started or ctx ends.
 func Run(ctx context.Context, o Options) (Report, error) {
 	o = o.withDefaults()
 	e, err := newEnvironment(o)
@@ -53,60 +57,62 @@
 	}
 	began := time.Now()
 	end := began.Add(o.Duration)
-	calling, cancel := context.WithDeadline(ctx, end)
+	runCtx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	var callers, acting sync.WaitGroup
+	var callers, actors sync.WaitGroup
 	for n := range o.Callers {
-		callers.Go(func() { e.runCaller(calling, n) })
+		callers.Go(func() { e.runCaller(runCtx, n) })
 	}
 	if o.FatalRequests {
-		callers.Go(func() { e.sendFatalRequests(calling) })
+		callers.Go(func() { e.sendFatalRequests(runCtx) })
 	}
 	if o.TargetLimits {
-		acting.Go(func() { e.runTargetLimits(calling, end.Add(-coolDown)) })
+		actors.Go(func() { e.runTargetLimits(runCtx, end.Add(-coolDown)) })
 	}
 	if o.Restores {
-		acting.Go(func() { e.runRestores(calling, end.Add(-coolDown)) })
+		actors.Go(func() { e.runRestores(runCtx, end.Add(-coolDown)) })
 	}
 	if o.TargetRequests {
-		acting.Go(func() { e.runTargetRequests(calling, end.Add(-coolDown)) })
+		actors.Go(func() { e.runTargetRequests(runCtx, end.Add(-coolDown)) })
 	}
 	rep := Report{Seed: o.Seed}
-	e.runActions(&rep, began, end.Add(-coolDown), &acting)
-	acting.Wait()
-	mended := time.Now()
+	e.runActions(&rep, began, end.Add(-coolDown), &actors)
+	actors.Wait()
+	repaired := time.Now()
 	callers.Wait()
 	rep.Violations, rep.LimitSummaries = e.recorder.violations(), e.recorder.limitSummaries
-	rep.addTotals(e, mended, end)
+	rep.addTotals(e, repaired, end)
 	return rep, ctx.Err()
 }
 
-// act makes acts until the calm end, several at a time and in series.
-func (e *environment) runActions(rep *Report, began, until time.Time, acting *sync.WaitGroup) {
+// runActions starts actions, one after another and overlapping, until the given time.
+func (e *environment) runActions(rep *Report, began, until time.Time, actors *sync.WaitGroup) {
 	r := rand.New(rand.NewPCG(e.options.Seed, 1))
-	busy := 1 + r.IntN(maxConcurrentActions)
+	concurrency := 1 + r.IntN(maxConcurrentActions)
 	time.Sleep(warmUp)
 	for time.Now().Before(until) {
 		a := actions[r.IntN(len(actions))]
 		length := time.Duration(200+r.IntN(2300)) * time.Millisecond
-		own := rand.New(rand.NewPCG(r.Uint64(), 2))
+		actionRand := rand.New(rand.NewPCG(r.Uint64(), 2))
 		rep.Actions = append(rep.Actions, fmt.Sprintf("%.1f %s for %v", time.Since(began).Seconds(), a.name, length))
-		acting.Go(func() { e.runAction(a, own, length) })
-		time.Sleep(time.Duration(r.Int64N(int64(2 * length / time.Duration(busy)))))
+		actors.Go(func() { e.runAction(a, actionRand, length) })
+		time.Sleep(time.Duration(r.Int64N(int64(2 * length / time.Duration(concurrency)))))
 	}
 }
 
+// runAction runs the action on a box drawn at random, and records its fault.
 func (e *environment) runAction(a action, r *rand.Rand, length time.Duration) {
 	from := time.Now()
 	b := e.boxes[r.IntN(len(e.boxes))]
 	if a.affects != scopeNone {
-		// It excuses from its beginning, also while its end is not known yet.
+		// The fault is recorded at its start, so that it excuses violations before its end is known. The
+		// end is an estimate.
 		e.recorder.addFault(a, b.name, from, from.Add(length+restartDelay+timingSlack))
 	}
 	a.run(e, r, b, func() { time.Sleep(length) })
 }
 
-// call makes requests until ctx ends, on connections that are kept.
+// runCaller sends requests until ctx ends. It reuses connections.
 func (e *environment) runCaller(ctx context.Context, n int) {
 	r := rand.New(rand.NewPCG(e.options.Seed, uint64(100+n)))
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
@@ -116,6 +122,8 @@
 	}
 }
 
+// sendRequest sends a request of a kind drawn at random to a box drawn at random, and records the
+// exchange.
 func (e *environment) sendRequest(c *http.Client, r *rand.Rand, id string) {
 	b, org := e.boxes[r.IntN(len(e.boxes))], e.organisations[r.IntN(len(e.organisations))]
 	ex := exchange{box: b.name, boxStart: b.startCount(), organisation: org.name}
@@ -140,11 +148,13 @@
 	e.recorder.addExchange(ex)
 }
 
-// unknownLife marks a request during which its box started anew.
+// unknownStart marks a request during which its box was restarted, or for which the start count was
+// not recorded.
 const unknownStart = -1
 
-// count adds what was served, and whether all was at the end.
-func (rep *Report) addTotals(e *environment, mended, end time.Time) {
+// addTotals counts the requests and those served, and adds a violation if fewer than nine in ten
+// were served in recoveryWindow.
+func (rep *Report) addTotals(e *environment, repaired, end time.Time) {
 	var last, lastServed int
 	from := end.Add(-recoveryWindow)
 	for _, ex := range e.recorder.exchanges {
@@ -160,6 +170,6 @@
 		}
 	}
 	if last == 0 || lastServed*10 < last*9 {
-		rep.Violations = append(rep.Violations, Violation{"recovery", fmt.Sprintf("%d of %d requests were served %v after all was mended", lastServed, last, from.Sub(mended))})
+		rep.Violations = append(rep.Violations, Violation{"recovery", fmt.Sprintf("%d of %d requests were served %v after all was mended", lastServed, last, from.Sub(repaired))})
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -10,24 +10,25 @@
 	"clovertrail.dev/soak"
 )
 
-// TestPromisesHoldUnderFaults is a short run of the soak; docs/TESTING.md reports the
-// long ones. Seeds that ever failed are kept here, with a line on the cause:
-// 134, net/http dropped a request read just as a stopping box shut its listener
-// (now gateway.Listener); 405 with a fatal caller, the whole machine stood still for seconds, and so
-// did the run itself.
-func TestPromisesHoldUnderFaults(t *testing.T) {
+// TestGuaranteesHoldUnderFaults makes short runs of the soak; docs/TESTING.md reports the long ones.
+// The seeds include those that have failed before:
+//
+//   - 134: net/http dropped a request that it had just read when a stopping box closed its listener.
+//     gateway.Listener now prevents this.
+//   - 405 with fatal requests: the whole machine stalled for seconds, and the run with it.
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs for many seconds")
 	}
 	program := filepath.Join(t.TempDir(), "clovertrail-node")
 	if out, err := exec.Command("go", "build", "-o", program, "clovertrail.dev/cmd/clovertrail-node").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("build of clovertrail-node failed: %v: %s", err, out)
 	}
 	for _, o := range []soak.Options{{Seed: 1}, {Seed: 134}, {Seed: 1, FatalRequests: true}, {Seed: 405, FatalRequests: true}, {Seed: 600, TargetRequests: true}, {Seed: 800, TargetLimits: true}, {Seed: 901, Restores: true}} {
 		seed := o.Seed
 		o.Program, o.Duration, o.Dir = program, soak.MinDuration+3*1e9, t.TempDir()
 		if o.TargetLimits || o.Restores {
-			o.Duration += 6 * time.Second // a limit, or a copy and what follows a restore, last longer than that
+			o.Duration += 6 * time.Second // a limit period, or a restore with its recovery, needs more time
 		}
 		r, err := soak.Run(context.Background(), o)
 		if err != nil {
@@ -37,7 +38,7 @@
 			t.Errorf("seed %d: %s: %s (%v)", seed, v.Guarantee, v.Details, r.Actions)
 		}
 		if r.Served == 0 {
-			t.Errorf("seed %d: nothing was served", seed)
+			t.Errorf("seed %d: no request was served", seed)
 		}
 	}
 }
--- a/soak/store_restores.go
+++ b/soak/store_restores.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// copyAge bounds how old the copies are from which the store comes back.
+	// maxSnapshotAge limits the age of the backups from which the store is restored.
 	maxSnapshotAge = 4 * time.Second
-	// lostMost bounds the configurations that the copy lacks.
+	// maxLostConfigurations limits the number of configurations written after the backup was taken.
 	maxLostConfigurations = 8
-	// awayMost bounds how long the store is away before it comes back.
+	// maxOutage limits the time for which the store is unavailable before a restore.
 	maxOutage = 2 * time.Second
-	// rewrittenWithin is the time in which the operator and the targets write again what the store
-	// has lost.
+	// rewriteWithin is the time within which the operator and the targets write the objects again that
+	// the store has lost.
 	rewriteWithin = time.Second
-	// lapseAfter is when the entry of a target that is gone lapses.
+	// lapseAfter is the time after which the store drops the entry of a target that no longer runs.
 	lapseAfter = 3600 * time.Millisecond
-	// restoredEvery bounds the pause between two restores.
+	// maxRestorePause limits the pause between two restores.
 	maxRestorePause = 5 * time.Second
 )
 
-// restoring lets the store come back from older copies, until ctx ends. One time in four it does
-// so twice in a row, one in four without an outage, and one in four it does not state its era for
-// a while.
+// runRestores restores the store from older backups repeatedly. It ends with ctx, or when too little
+// time is left before until. One restore in four is made twice in a row, one in four without an outage,
+// and after one in four the store does not state its era for a while.
 func (e *environment) runRestores(ctx context.Context, until time.Time) {
 	r := rand.New(rand.NewPCG(e.options.Seed, 6))
 	for time.Now().Add(maxSnapshotAge+maxOutage+lapseAfter).Before(until) && ctx.Err() == nil {
 		snapshot := e.store.Copy()
 		for range r.IntN(maxLostConfigurations) {
-			_ = e.writeNextConfiguration() // an error would show as a version that nobody has
+			_ = e.writeNextConfiguration() // after an error, no box has the version, which the checks report
 		}
 		time.Sleep(time.Duration(r.Int64N(int64(maxSnapshotAge))))
 		outage := time.Duration(r.Int64N(int64(maxOutage)))
@@ -46,12 +46,13 @@
 		time.Sleep(lapseAfter - rewriteWithin)
 		e.removeLapsed()
 		e.store.SetEraHeader(standin.StatedEra)
-		_ = e.writeNextConfiguration() // an error would show as a version that nobody has
+		_ = e.writeNextConfiguration() // after an error, no box has the version, which the checks report
 		time.Sleep(time.Duration(r.Int64N(int64(maxRestorePause))))
 	}
 }
 
-// restore brings the copy back, and has written again what it lacks.
+// restoreStore restores the store from the snapshot, after an outage if it is not zero, and then has
+// the lost objects written again.
 func (e *environment) restoreStore(r *rand.Rand, snapshot standin.Copy, outage time.Duration) {
 	now := time.Now()
 	e.recorder.addFault(action{name: "store restored from a copy", affects: scopeStore}, "", now, now.Add(outage+rewriteWithin+timingSlack))
@@ -68,10 +69,10 @@
 	e.rewriteObjects()
 }
 
-// rewrite writes the newest configuration and the entries of all targets.
+// rewriteObjects writes the newest configuration and the entries of all targets to the store.
 func (e *environment) rewriteObjects() {
 	e.configMu.Lock()
-	_ = e.store.PutAgain("config", "main", e.configuration(e.newestVersion())) // a document of ours, which the store takes
+	_ = e.store.PutAgain("config", "main", e.configuration(e.newestVersion())) // the store accepted this document before
 	e.configMu.Unlock()
 	for _, h := range e.currentHosts() {
 		e.mu.Lock()
@@ -81,7 +82,7 @@
 	}
 }
 
-// lapse takes away the entries of targets that are gone.
+// removeLapsed removes the entries of targets that no longer run.
 func (e *environment) removeLapsed() {
 	current := map[string]bool{}
 	for _, h := range e.currentHosts() {
@@ -96,7 +97,7 @@
 	}
 }
 
-// places are the hosts.
+// currentHosts returns a copy of the list of hosts.
 func (e *environment) currentHosts() []*host {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/soak/target_limits.go
+++ b/soak/target_limits.go
@@ -101,8 +101,8 @@
 	}
 	var list []time.Time
 	for _, a := range all {
-		t, told := first[boxProcess{a.exchange.box, a.exchange.boxStart}]
-		if told && a.exchange.boxStart != unknownStart && a.at.Sub(t) >= limitDelay && a.at.Sub(x.from) >= contactBound && rec.faultFree(a.exchange.box, a.at, a.at, scopeBox) {
+		t, notified := first[boxProcess{a.exchange.box, a.exchange.boxStart}]
+		if notified && a.exchange.boxStart != unknownStart && a.at.Sub(t) >= limitDelay && a.at.Sub(x.from) >= contactBound && rec.faultFree(a.exchange.box, a.at, a.at, scopeBox) {
 			list = append(list, a.at)
 		}
 	}
@@ -131,23 +131,23 @@
 	for _, x := range rec.limitPeriods {
 		all := rec.arrivalsDuring(x)
 		served := 0
-		var late []time.Time // from any box, once all boxes can have the limit
+		var counted []time.Time // from any box, once all boxes can have the limit
 		for _, a := range all {
 			if a.exchange.reply.Right {
 				served++
 			}
 			if a.at.Sub(x.from) >= contactBound {
-				late = append(late, a.at)
+				counted = append(counted, a.at)
 			}
 		}
-		takes := x.perSecond * x.to.Sub(x.from).Seconds()
-		worst := busiestWindow(rec.arrivalsAfterNotice(x, all))
+		allowed := x.perSecond * x.to.Sub(x.from).Seconds()
+		busiest := busiestWindow(rec.arrivalsAfterNotice(x, all))
 		rec.limitSummaries = append(rec.limitSummaries, fmt.Sprintf("%s takes %v a second: allowed %.0f, sent %d, served %d; in %v at most %d, %d by boxes that knew and were well, bears %d",
-			x.target, x.perSecond, takes, len(all), served, limitWindow, busiestWindow(late), worst, x.maxInWindow()))
-		if worst > x.maxInWindow() {
-			violate("limit", "%s takes %v a second from all boxes, and boxes that knew sent it %d in %v; it bears %d", x.target, x.perSecond, worst, limitWindow, x.maxInWindow())
+			x.target, x.perSecond, allowed, len(all), served, limitWindow, busiestWindow(counted), busiest, x.maxInWindow()))
+		if busiest > x.maxInWindow() {
+			violate("limit", "%s takes %v a second from all boxes, and boxes that knew sent it %d in %v; it bears %d", x.target, x.perSecond, busiest, limitWindow, x.maxInWindow())
 		}
-		if rec.undisturbed(x) && float64(len(all)) < minLimitShare*takes-1 {
+		if rec.undisturbed(x) && float64(len(all)) < minLimitShare*allowed-1 {
 			violate("limit", "%s takes %v a second, and was sent %d in %v although nothing was wrong", x.target, x.perSecond, len(all), x.to.Sub(x.from))
 		}
 	}
@@ -168,8 +168,8 @@
 			}
 		}
 	}
-	_, left := rec.drainingSince[x.target]
-	return !left
+	_, draining := rec.drainingSince[x.target]
+	return !draining
 }
 
 // busiestWindow returns the largest number of the times that are within one window.
