--- a/bench/doc.go
+++ b/bench/doc.go
@@ -1,6 +1,6 @@
-// Package bench measures how what clovertrail keeps, sends and works out grows with the
-// size of the system. Each quantity is measured at a few sizes and a line is drawn
-// through them; docs/CAPACITY.md works out the full size from the lines.
+// Package bench measures how the sizes of clovertrail's messages and the run times of its decisions
+// grow with the size of the system. Each quantity is measured at a few sizes, and a line is fitted to
+// the results; docs/CAPACITY.md extrapolates from the lines to the full size.
 //
 // # Usage
 //
--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -21,10 +21,11 @@
 	"clovertrail.dev/store"
 )
 
-// begin is when all measurements begin.
-var begin = time.Unix(1_800_000_000, 0)
+// startTime is the time that all measurements pass as the current time.
+var startTime = time.Unix(1_800_000_000, 0)
 
-// quantity is something that grows with a size.
+// quantity is a message size or a run time that grows with a parameter of the system. The name, unit
+// and by are the texts of the table.
 type quantity struct {
 	name, unit, by string
 	sizes          []int
@@ -32,16 +33,16 @@
 }
 
 var quantities = []quantity{
-	{"what a box tells of its hall", "bytes", "targets of the hall", []int{24, 240, 1200}, survey},
-	{"an advert, nobody new", "bytes", "boxes known", []int{8, 40, 409}, advert},
-	{"a question to an agent and its answer", "bytes", "ranks of its group", []int{8, 24, 64}, question},
-	{"counts of a rank", "bytes", "layers x experts", []int{288, 1536, 3840}, counts},
-	{"a whole map to one rank", "bytes", "ranks x layers x places", []int{396, 1920, 19200}, wholeMap},
-	{"choosing a target", "ns", "targets of the service", []int{24, 72, 240}, choose},
-	{"planning a map", "ns", "ranks x layers x experts", []int{3456, 36864, 245760}, plan},
+	{"what a box tells of its hall", "bytes", "targets of the hall", []int{24, 240, 1200}, targetStatusBytes},
+	{"an advert, nobody new", "bytes", "boxes known", []int{8, 40, 409}, advertBytes},
+	{"a question to an agent and its answer", "bytes", "ranks of its group", []int{8, 24, 64}, agentPollBytes},
+	{"counts of a rank", "bytes", "layers x experts", []int{288, 1536, 3840}, expertCountBytes},
+	{"a whole map to one rank", "bytes", "ranks x layers x places", []int{396, 1920, 19200}, fullMapBytes},
+	{"choosing a target", "ns", "targets of the service", []int{24, 72, 240}, targetChoiceTime},
+	{"planning a map", "ns", "ranks x layers x experts", []int{3456, 36864, 245760}, mapPlanTime},
 }
 
-// Slopes measures each quantity and writes a table.
+// Slopes measures each quantity, fits a line to the results, and writes a table in Markdown.
 func Slopes(out io.Writer) error {
 	if _, err := fmt.Fprintf(out, "| quantity | unit | by | measured | line |\n|---|---|---|---|---|\n"); err != nil {
 		return err
@@ -54,7 +55,7 @@
 			xs, ys = append(xs, float64(size)), append(ys, y)
 			text += fmt.Sprintf("%d: %.4g; ", size, y)
 		}
-		a, b := line(xs, ys)
+		a, b := fitLine(xs, ys)
 		if _, err := fmt.Fprintf(out, "| %s | %s | %s | %s | %.4g + %.4g x |\n", q.name, q.unit, q.by, text, a, b); err != nil {
 			return err
 		}
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// line fits y = a + b x by least squares.
-func line(xs, ys []float64) (a, b float64) {
+// fitLine fits y = a + b x by least squares.
+func fitLine(xs, ys []float64) (a, b float64) {
 	n, sx, sy, sxx, sxy := float64(len(xs)), 0.0, 0.0, 0.0, 0.0
 	for i := range xs {
 		sx, sy, sxx, sxy = sx+xs[i], sy+ys[i], sxx+xs[i]*xs[i], sxy+xs[i]*ys[i]
@@ -72,75 +73,82 @@
 	return (sy - b*sx) / n, b
 }
 
-// bytesOf is how long a message is on the wire.
-func bytesOf(m any) float64 {
+// encodedSize returns the size of a message on the wire, in bytes.
+func encodedSize(m any) float64 {
 	raw, err := cbor.Marshal(m)
 	if err != nil {
-		panic(err) // all messages are plain data
+		panic(err) // cannot happen: all messages are plain data
 	}
 	return float64(len(raw))
 }
 
 func instance(i int) domain.InstanceID { return domain.InstanceID(fmt.Sprintf("i-%010x", i)) }
 
-func survey(targets int) float64 {
+// targetStatusBytes returns the size of a box's message on the statuses of the targets in its hall.
+func targetStatusBytes(targets int) float64 {
 	s := distribution.NewTargetStatuses()
 	for i := range targets {
-		s.RecordReport(begin, instance(i), &mesh.RankReport{
+		s.RecordReport(startTime, instance(i), &mesh.RankReport{
 			State: orders.State{Epoch: 3, Open: true, Step: orders.Step(90_000 + i)}, Running: 7, Waiting: 1, Slowdown: 1,
 		})
 	}
-	return bytesOf(s.Latest(begin.Add(150*time.Millisecond), false))
+	return encodedSize(s.Latest(startTime.Add(150*time.Millisecond), false))
 }
 
-func advert(boxes int) float64 {
+// advertBytes returns the size of an advert of a box that has the given number of boxes, none of them
+// new.
+func advertBytes(boxes int) float64 {
 	b := membership.NewBoxes("self", rand.New(rand.NewPCG(1, 2)))
 	contact := func(i int) membership.Contact {
-		return membership.Contact{Box: domain.BoxID(fmt.Sprintf("entry-hall-%d", i)), Address: "10.1.0.40:7340", Incarnation: domain.Incarnation(begin.UnixNano())}
+		return membership.Contact{Box: domain.BoxID(fmt.Sprintf("entry-hall-%d", i)), Address: "10.1.0.40:7340", Incarnation: domain.Incarnation(startTime.UnixNano())}
 	}
 	for i := range boxes {
-		b.Receive(begin, contact(i), "hall", membership.StoreProgress{}, false)
+		b.Receive(startTime, contact(i), "hall", membership.StoreProgress{}, false)
 	}
-	far := store.PositionOf(3, 90_000)
-	a := &mesh.Advert{Self: mesh.Contact{Box: "entry-hall-0", Address: "10.1.0.40:7340", Incarnation: domain.Incarnation(begin.UnixNano())}, Hall: "hall-1", Config: catalog.Edition{Version: 90_000, At: far}, Targets: far}
-	for c, ago := range b.PeersToAdvertise(begin.Add(membership.NewFor), 16, 2) {
-		a.Peers = append(a.Peers, mesh.Contact{Box: c.Box, Address: c.Address, Incarnation: c.Incarnation, Age: ago})
+	position := store.PositionOf(3, 90_000)
+	a := &mesh.Advert{Self: mesh.Contact{Box: "entry-hall-0", Address: "10.1.0.40:7340", Incarnation: domain.Incarnation(startTime.UnixNano())}, Hall: "hall-1", Config: catalog.Edition{Version: 90_000, At: position}, Targets: position}
+	for c, age := range b.PeersToAdvertise(startTime.Add(membership.NewFor), 16, 2) {
+		a.Peers = append(a.Peers, mesh.Contact{Box: c.Box, Address: c.Address, Incarnation: c.Incarnation, Age: age})
 	}
-	return bytesOf(a)
+	return encodedSize(a)
 }
 
-// question is the mean over the time in which an agent is taught once who is in its
-// group: at five questions a second for five seconds.
-func question(ranks int) float64 {
-	const questions = 25
-	taught := &mesh.WatchQuery{Epoch: 3, Shape: &rebalance.Shape{Ranks: ranks, Layers: 16, Experts: 96, Slots: 5, Staging: 2, CopyTime: time.Second, ExpertShare: 0.85}}
+// agentPollBytes returns the mean size of a request to an agent with its response. Of the requests in
+// five seconds, at five a second, one sends the agent the members of its group.
+func agentPollBytes(ranks int) float64 {
+	const requests = 25
+	withMembers := &mesh.WatchQuery{Epoch: 3, Shape: &rebalance.Shape{Ranks: ranks, Layers: 16, Experts: 96, Slots: 5, Staging: 2, CopyTime: time.Second, ExpertShare: 0.85}}
 	for r := range ranks {
-		taught.Members = append(taught.Members, mesh.Member{Rank: r, Instance: instance(r), Target: "10.1.0.40:8000", Agent: "10.1.0.40:7355"})
+		withMembers.Members = append(withMembers.Members, mesh.Member{Rank: r, Instance: instance(r), Target: "10.1.0.40:8000", Agent: "10.1.0.40:7355"})
 	}
-	answer := &mesh.RankReport{Group: "g0-0", Rank: 3, Size: ranks, State: orders.State{Epoch: 3, Open: true, Step: 90_000, Map: 42_000_000_000, Prepared: 42_000_000_000}, Running: 7, Slowdown: 1, MembersEpoch: 3}
-	return bytesOf(&mesh.WatchQuery{Epoch: 3}) + bytesOf(answer) + bytesOf(taught)/questions
+	response := &mesh.RankReport{Group: "g0-0", Rank: 3, Size: ranks, State: orders.State{Epoch: 3, Open: true, Step: 90_000, Map: 42_000_000_000, Prepared: 42_000_000_000}, Running: 7, Slowdown: 1, MembersEpoch: 3}
+	return encodedSize(&mesh.WatchQuery{Epoch: 3}) + encodedSize(response) + encodedSize(withMembers)/requests
 }
 
-func counts(size int) float64 {
+// expertCountBytes returns the size of the message with a rank's counts of tokens per expert.
+func expertCountBytes(size int) float64 {
 	numbers := make([]uint64, size)
 	for i := range numbers {
 		numbers[i] = uint64(i % 200)
 	}
-	return bytesOf(mesh.NewExpertCounts(numbers))
+	return encodedSize(mesh.NewExpertCounts(numbers))
 }
 
-func wholeMap(size int) float64 {
-	const layers, places = 16, 5
+// fullMapBytes returns the size of the order that sends a complete map to a rank.
+func fullMapBytes(size int) float64 {
+	const layers, slots = 16, 5
 	m := make(orders.Placement, layers)
 	for l := range m {
-		for r := range size / layers / places {
+		for r := range size / layers / slots {
 			m[l] = append(m[l], []int{r % 96, (r + 20) % 96, (r + 40) % 96, (r + 60) % 96, (r + 80) % 96})
 		}
 	}
-	return bytesOf(mesh.NewOrderCall(orders.Call{Order: orders.Prepare{Version: 42_000_000_000, Map: m}}))
+	return encodedSize(mesh.NewOrderCall(orders.Call{Order: orders.Prepare{Version: 42_000_000_000, Map: m}}))
 }
 
-func choose(targets int) float64 {
+// targetChoiceTime returns the time to choose a target and to record the attempt and its end, in
+// nanoseconds.
+func targetChoiceTime(targets int) float64 {
 	const ranks = 24
 	b := routing.NewBalancer(rand.New(rand.NewPCG(1, 2)))
 	var options []routing.Option
@@ -149,14 +157,15 @@
 			ID: instance(i), Hall: domain.HallName(fmt.Sprintf("hall-%d", i/ranks)), Group: domain.GroupName(fmt.Sprintf("g-%d", i/ranks)), Slots: 10,
 		})
 	}
-	return nanos(func() {
-		if o, ok := b.Pick(begin, "hall-0", options); ok {
-			b.Ended(begin, b.Sent(begin, o))
+	return callNanoseconds(func() {
+		if o, ok := b.Pick(startTime, "hall-0", options); ok {
+			b.Ended(startTime, b.Sent(startTime, o))
 		}
 	})
 }
 
-func plan(size int) float64 {
+// mapPlanTime returns the time to plan a map, in nanoseconds.
+func mapPlanTime(size int) float64 {
 	shapes := map[int]rebalance.Shape{
 		3456:   {Ranks: 12, Layers: 3, Experts: 96, Slots: 11, Staging: 4},
 		36864:  {Ranks: 24, Layers: 16, Experts: 96, Slots: 5, Staging: 2},
@@ -173,11 +182,11 @@
 		}
 	}
 	p := rebalance.Planner{Shape: s, Horizon: 2 * time.Second, CopySlowdown: 0.15, MaxCopies: 1}
-	return nanos(func() { p.Plan(m, load) })
+	return callNanoseconds(func() { p.Plan(m, load) })
 }
 
-// nanos is how long a call takes.
-func nanos(call func()) float64 {
+// callNanoseconds returns the mean run time of a call.
+func callNanoseconds(call func()) float64 {
 	r := testing.Benchmark(func(b *testing.B) {
 		for b.Loop() {
 			call()
