--- a/cmd/clovertrail-bench/main.go
+++ b/cmd/clovertrail-bench/main.go
@@ -1,4 +1,4 @@
-// Command clovertrail-bench makes the measurements that docs/CAPACITY.md quotes, and the
+// Command clovertrail-bench runs the measurements that docs/CAPACITY.md quotes, and generates the
 // reference of the settings:
 //
 //	go run ./cmd/clovertrail-bench slopes
--- a/cmd/clovertrail-demo/main.go
+++ b/cmd/clovertrail-demo/main.go
@@ -1,5 +1,5 @@
-// Command clovertrail-demo runs the whole system on loopback under a workload with
-// faults, and prints how it went:
+// Command clovertrail-demo runs the whole system on loopback under a workload with faults, and prints
+// the results:
 //
 //	go run ./cmd/clovertrail-demo
 //	go run ./cmd/clovertrail-demo --workload examples/workloads/matchday.json --seeds 3 --log demo.log
@@ -61,7 +61,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = f.Close() }() // what could not be written shows when it is read
+		defer func() { _ = f.Close() }() // a failed write leaves the log incomplete, which its reader sees
 		log = f
 	}
 	for i := range max(c.Int("seeds"), 1) {
@@ -74,14 +74,14 @@
 
 func play(ctx context.Context, c *cli.Command, w demo.Workload, seed uint64, log io.Writer) error {
 	fmt.Printf("seed %d: %d entry boxes, %d targets and %d ranks in %d data halls, %d s\n", seed, w.Entries, w.Targets, w.Ranks, w.Halls, w.Seconds)
-	var stay func(*local.System)
+	var afterRun func(*local.System)
 	if c.Bool("stay") {
-		stay = func(s *local.System) {
+		afterRun = func(s *local.System) {
 			demo.PrintAddresses(os.Stdout, s)
 			<-ctx.Done()
 		}
 	}
-	result, err := demo.Play(ctx, w, seed, log, func(text string) { fmt.Println(text) }, stay)
+	result, err := demo.Play(ctx, w, seed, log, func(text string) { fmt.Println(text) }, afterRun)
 	if err != nil {
 		return err
 	}
--- a/cmd/clovertrail-node/main.go
+++ b/cmd/clovertrail-node/main.go
@@ -1,7 +1,6 @@
-// Command clovertrail-node runs one of clovertrail's processes on the users'
-// platform. It takes no flags: the platform names the settings file in a variable.
-// It does not link the command line library, which costs each box memory
-// (docs/design/platform.md).
+// Command clovertrail-node runs one of clovertrail's processes on the users' platform. It has no flags:
+// the platform passes the path of the settings file in an environment variable. It does not link the
+// command line library, which would cost each box memory (docs/design/platform.md).
 package main
 
 import (
--- a/cmd/clovertrail-soak/main.go
+++ b/cmd/clovertrail-soak/main.go
@@ -1,4 +1,4 @@
-// Command clovertrail-soak runs the soak for a number of seeds and reports what it found:
+// Command clovertrail-soak runs the soak for a number of seeds and reports violations of guarantees:
 //
 //	go build -o target/ ./cmd/clovertrail-node
 //	go run ./cmd/clovertrail-soak --program target/clovertrail-node --seeds 50
@@ -49,7 +49,7 @@
 	return cmd.Run(ctx, os.Args)
 }
 
-// result is how the run of a seed went.
+// result is the report of the run of a seed, or its error.
 type result struct {
 	report soak.Report
 	err    error
@@ -75,25 +75,25 @@
 			}()
 		}
 	}()
-	broken := 0
+	violated := 0
 	for range seeds {
 		res := <-results
 		if res.err != nil {
 			return res.err
 		}
-		if show(res.report) {
-			broken++
+		if printReport(res.report) {
+			violated++
 		}
 	}
-	fmt.Printf("%d seeds, %d with a promise broken\n", seeds, broken)
-	if broken > 0 {
-		return fmt.Errorf("%d of %d seeds broke a promise", broken, seeds)
+	fmt.Printf("%d seeds, %d with a promise broken\n", seeds, violated)
+	if violated > 0 {
+		return fmt.Errorf("%d of %d seeds broke a promise", violated, seeds)
 	}
 	return nil
 }
 
-// show prints a report, and returns whether a promise was broken.
-func show(r soak.Report) bool {
+// printReport prints a report, and returns true if a guarantee was violated.
+func printReport(r soak.Report) bool {
 	fmt.Printf("seed %d: %d requests, %d served, %d acts, %d violations\n", r.Seed, r.Requests, r.Served, len(r.Actions), len(r.Violations))
 	for _, x := range r.LimitSummaries {
 		fmt.Println("  ", x)
--- a/cmd/clovertrail/main.go
+++ b/cmd/clovertrail/main.go
@@ -1,4 +1,4 @@
-// Command clovertrail is the operators' command line.
+// Command clovertrail is the command line interface for operators.
 package main
 
 import (
--- a/cmd/internal/reference/reference.go
+++ b/cmd/internal/reference/reference.go
@@ -1,4 +1,4 @@
-// Package reference makes the documents that are generated from the code.
+// Package reference generates documents from the source code.
 //
 // # Usage
 //
@@ -12,7 +12,7 @@
 	"clovertrail.dev/settings"
 )
 
-// Settings is the content of docs/SETTINGS.md.
+// Settings returns the content of docs/SETTINGS.md. The root is the path of the repository.
 func Settings(root string) (string, error) {
 	text := "# Settings\n\n"
 	for _, d := range []struct {
@@ -22,11 +22,11 @@
 		{"clovertrail-node entry", "node/process/settings.go", process.DefaultEntrySettings()},
 		{"clovertrail-node agent", "node/process/settings.go", process.DefaultAgentSettings()},
 	} {
-		part, err := settings.Document(d.title, filepath.Join(root, d.source), d.defaults)
+		section, err := settings.Document(d.title, filepath.Join(root, d.source), d.defaults)
 		if err != nil {
 			return "", err
 		}
-		text += part + "\n"
+		text += section + "\n"
 	}
 	return text, nil
 }
--- a/cmd/internal/reference/reference_test.go
+++ b/cmd/internal/reference/reference_test.go
@@ -19,6 +19,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != want {
-		t.Error("docs/SETTINGS.md is out of date; CONTRIBUTING.md says how to make it")
+		t.Error("docs/SETTINGS.md is out of date; CONTRIBUTING.md states the command that generates it")
 	}
 }
