--- a/soak/actions.go
+++ b/soak/actions.go
@@ -61,8 +61,9 @@
 	{"target leaves", scopeNone, drainTarget},
 	{"target leaves", scopeNone, drainTarget},
 	{"target crashes", scopeTarget, crashTarget},
-	{"configuration", scopeNone, func(e *environment, _ *rand.Rand, _ *box, _ func()) { _ = e.writeNextConfiguration() }}, // after an error, no box has the version, which the checks report
-	{"configuration", scopeNone, func(e *environment, _ *rand.Rand, _ *box, _ func()) { _ = e.writeNextConfiguration() }}, // after an error, no box has the version, which the checks report
+	// An error is ignored here: no box has the version then, which the checks report.
+	{"configuration", scopeNone, func(e *environment, _ *rand.Rand, _ *box, _ func()) { _ = e.writeNextConfiguration() }},
+	{"configuration", scopeNone, func(e *environment, _ *rand.Rand, _ *box, _ func()) { _ = e.writeNextConfiguration() }},
 }
 
 func signalBox(s syscall.Signal) func(*environment, *rand.Rand, *box, func()) {
--- a/soak/environment.go
+++ b/soak/environment.go
@@ -67,7 +67,7 @@
 	entryState string
 }
 
-// incarnation is one process of a target, with the proxy in front of it.
+// incarnation is one incarnation of a target: its server, and the proxy in front of it.
 type incarnation struct {
 	id     string
 	target *standin.Target
@@ -239,10 +239,10 @@
 }
 
 func (e *environment) configuration(version int) map[string]any {
-	return standin.Configuration(version, service, e.apiKeys())
+	return standin.Configuration(version, service, e.keysByOrganisation())
 }
 
-func (e *environment) apiKeys() map[string]string {
+func (e *environment) keysByOrganisation() map[string]string {
 	keys := map[string]string{}
 	for _, o := range e.organisations {
 		keys[o.name] = o.key
--- a/soak/fatal_requests.go
+++ b/soak/fatal_requests.go
@@ -21,8 +21,8 @@
 	// fatalPause is the mean pause of the caller between two such requests; it varies by half in either
 	// direction.
 	fatalPause = 300 * time.Millisecond
-	// crashesToQuarantine is the number of runs that crashed their targets after which boxes must put
-	// the request in quarantine; maxLateRuns is the number of further runs that are tolerated.
+	// Boxes must put the request in quarantine once it has crashed crashesToQuarantine targets. At most
+	// maxLateRuns later runs are tolerated.
 	crashesToQuarantine, maxLateRuns = 3, 3
 )
 
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// proxyMode is the fault that a proxy injects.
+// proxyMode is the fault that a proxy injects; passThrough is none.
 type proxyMode int
 
 const (
@@ -36,7 +36,7 @@
 const slowLinkDelay = 60 * time.Millisecond
 
 // proxy is a loopback proxy in front of one upstream address. Data that was dropped is lost for good,
-// also when the connection goes on in another mode.
+// even if the mode changes while the connection is open.
 type proxy struct {
 	listener net.Listener
 	upstream string
--- a/soak/recorder.go
+++ b/soak/recorder.go
@@ -15,7 +15,7 @@
 type span struct {
 	name    string
 	affects faultScope
-	// box is the name of the box on which the action ran; empty if it concerns no single box.
+	// box is the name of the box that was drawn for the action; empty if none was drawn.
 	box      string
 	from, to time.Time
 }
--- a/soak/store_restores.go
+++ b/soak/store_restores.go
@@ -72,7 +72,7 @@
 // rewriteObjects writes the newest configuration and the entries of all targets to the store.
 func (e *environment) rewriteObjects() {
 	e.configMu.Lock()
-	_ = e.store.PutAgain("config", "main", e.configuration(e.newestVersion())) // the store accepted this document before
+	_ = e.store.PutAgain("config", "main", e.configuration(e.newestVersion())) // no error is expected: the store accepted this document before
 	e.configMu.Unlock()
 	for _, h := range e.currentHosts() {
 		e.mu.Lock()
--- a/soak/target_limits.go
+++ b/soak/target_limits.go
@@ -89,8 +89,8 @@
 }
 
 // arrivalsAfterNotice returns the times of requests from boxes that had the limit, because they had
-// forwarded a response that stated it, and that no fault affected. Requests count from contactBound
-// after the start of the period, when all boxes can have the limit.
+// forwarded a response that stated it at least limitDelay earlier, and that no fault affected. Requests
+// count from contactBound after the start of the period, when all boxes can have the limit.
 func (rec *recorder) arrivalsAfterNotice(x limitPeriod, all []arrival) []time.Time {
 	first := map[boxProcess]time.Time{}
 	for _, a := range all {
