--- /dev/null
+++ b/soak/environment.go
@@ -0,0 +1,272 @@
+package soak
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+
+	"clovertrail.dev/platform/standin"
+)
+
+// Options configures a run.
+type Options struct {
+	// Program is the path of the built clovertrail-node.
+	Program string
+	// Seed is the seed of all random draws of the run.
+	Seed uint64
+	// Duration is the length of the run, including the fault-free part at its end.
+	Duration time.Duration
+	// Boxes, Targets and Callers are the numbers of each; 0 selects the default.
+	Boxes, Targets, Callers int
+	// Dir is the directory to which the settings and logs of the boxes are written.
+	Dir string
+	// FatalRequests adds a caller whose request crashes each target that runs it. It does not change
+	// the other random draws of the seed.
+	FatalRequests bool
+	// TargetRequests makes targets request rest, and report in their responses that they are leaving.
+	// It does not change the other random draws of the seed.
+	TargetRequests bool
+	// TargetLimits makes targets state request limits in their responses. It does not change the other
+	// random draws of the seed.
+	TargetLimits bool
+	// Restores makes the store be restored from older backups. It does not change the other random
+	// draws of the seed.
+	Restores bool
+}
+
+// Default sizes of a run: few processes, so that many runs fit on one machine.
+const (
+	defaultBoxes   = 4
+	defaultTargets = 6
+	defaultCallers = 12
+)
+
+func (o Options) withDefaults() Options {
+	if o.Boxes == 0 {
+		o.Boxes = defaultBoxes
+	}
+	if o.Targets == 0 {
+		o.Targets = defaultTargets
+	}
+	if o.Callers == 0 {
+		o.Callers = defaultCallers
+	}
+	return o
+}
+
+// host runs a target. When a target has left or crashed, a new incarnation replaces it.
+type host struct {
+	hall string
+	// lifecycle is locked while the target leaves or is down.
+	lifecycle sync.Mutex
+	current   incarnation
+	// entryState is the state that the target last wrote to its entry in the store.
+	entryState string
+}
+
+// incarnation is one incarnation of a target: its server, and the proxy in front of it.
+type incarnation struct {
+	id     string
+	target *standin.Target
+	server *http.Server
+	proxy  *proxy
+}
+
+// organisation is a tenant with its API key.
+type organisation struct{ name, key string }
+
+// environment holds everything that a run starts: the store, the targets and the boxes.
+type environment struct {
+	options     Options
+	recorder    *recorder
+	store       *standin.Store
+	storeServer *http.Server
+	boxes       []*box
+
+	// configMu serialises writes of the configuration. Lock order: configMu, then mu.
+	configMu sync.Mutex
+
+	mu            sync.Mutex
+	hosts         []*host
+	incarnations  int
+	configVersion int
+	stopped       bool
+	organisations []organisation
+}
+
+// service is the name of the only service in the configuration.
+const service = "app"
+
+// newEnvironment starts the store, the targets and the boxes.
+func newEnvironment(o Options) (*environment, error) {
+	e := &environment{options: o, recorder: newRecorder(), store: standin.NewStore()}
+	for n := range 3 {
+		e.organisations = append(e.organisations, organisation{name: fmt.Sprintf("org-%d", n), key: fmt.Sprintf("key-%d", n)})
+	}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	e.storeServer = startServer(l, e.store)
+	for n := range o.Targets {
+		if err := e.addHost(n); err != nil {
+			return nil, err
+		}
+	}
+	if err := e.writeNextConfiguration(); err != nil {
+		return nil, err
+	}
+	return e, e.startBoxes(l.Addr().String())
+}
+
+func startServer(l net.Listener, h http.Handler) *http.Server {
+	s := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
+	go func() { _ = s.Serve(l) }() // returns when the run closes the server
+	return s
+}
+
+func hallName(n int) string { return fmt.Sprintf("hall-%d", n%2) }
+
+func (e *environment) startBoxes(store string) error {
+	if err := os.MkdirAll(e.options.Dir, 0o700); err != nil {
+		return err
+	}
+	addresses, err := freeAddresses(e.options.Seed, 4*e.options.Boxes)
+	if err != nil {
+		return err
+	}
+	for n := range e.options.Boxes {
+		p, err := newProxy(store)
+		if err != nil {
+			return err
+		}
+		boxAddresses := addresses[4*n : 4*n+4]
+		b, err := newBox(e.options.Dir, e.options.Program, fmt.Sprintf("box-%d", n), hallName(n), boxAddresses, []string{addresses[3], addresses[7%len(addresses)]}, p)
+		if err != nil {
+			return err
+		}
+		e.boxes = append(e.boxes, b)
+		if err := b.start(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// addHost adds a host in hall n modulo the number of halls, and starts its first target.
+func (e *environment) addHost(n int) error {
+	h := &host{hall: hallName(n)}
+	e.mu.Lock()
+	e.hosts = append(e.hosts, h)
+	e.mu.Unlock()
+	return e.startTarget(h)
+}
+
+// startTarget starts the next incarnation on the host, and writes its entry to the store.
+func (e *environment) startTarget(h *host) error {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	p, err := newProxy(l.Addr().String())
+	if err != nil {
+		return err
+	}
+	e.mu.Lock()
+	e.incarnations++
+	in := incarnation{id: fmt.Sprintf("i-%d", e.incarnations), proxy: p}
+	in.target = standin.NewTarget(in.id, service, e.recorder.addRun)
+	in.server = startServer(l, in.target)
+	if e.options.FatalRequests {
+		e.crashOnFatal(h, in)
+	}
+	h.current = in
+	e.mu.Unlock()
+	return e.writeEntry(h, in, "ready")
+}
+
+// writeEntry writes the target's entry to the store.
+func (e *environment) writeEntry(h *host, in incarnation, state string) error {
+	e.mu.Lock()
+	if h.current.id == in.id {
+		h.entryState = state
+	}
+	e.mu.Unlock()
+	_, err := e.store.Put("servers", in.id, in.entry(h, state))
+	return err
+}
+
+func (in incarnation) entry(h *host, state string) map[string]any {
+	return in.target.Object(in.proxy.address(), h.hall, state)
+}
+
+// close closes the listeners of the incarnation.
+func (in incarnation) close() {
+	in.proxy.close()
+	_ = in.server.Close() // the server is discarded even if this fails
+}
+
+// replaceTarget removes an incarnation that has left or crashed, and starts a new one on its host.
+func (e *environment) replaceTarget(h *host, in incarnation) error {
+	e.store.Remove("servers", in.id)
+	in.close()
+	return e.startTarget(h)
+}
+
+// writeNextConfiguration writes the next version of the configuration to the store. Each version
+// adds a route of its own.
+func (e *environment) writeNextConfiguration() error {
+	e.configMu.Lock()
+	defer e.configMu.Unlock()
+	e.mu.Lock()
+	e.configVersion++
+	version := e.configVersion
+	e.mu.Unlock()
+	if err := e.writeConfiguration(version); err != nil {
+		return err
+	}
+	e.recorder.markConfigStored(version)
+	return nil
+}
+
+// writeConfiguration writes the given version of the configuration to the store.
+func (e *environment) writeConfiguration(version int) error {
+	_, err := e.store.Put("config", "main", e.configuration(version))
+	return err
+}
+
+func (e *environment) configuration(version int) map[string]any {
+	return standin.Configuration(version, service, e.keysByOrganisation())
+}
+
+func (e *environment) keysByOrganisation() map[string]string {
+	keys := map[string]string{}
+	for _, o := range e.organisations {
+		keys[o.name] = o.key
+	}
+	return keys
+}
+
+func (e *environment) newestVersion() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.configVersion
+}
+
+// close stops everything that the run started.
+func (e *environment) close() {
+	e.mu.Lock()
+	e.stopped = true
+	e.mu.Unlock()
+	for _, b := range e.boxes {
+		b.kill()
+		b.storeProxy.close()
+	}
+	for _, h := range e.hosts {
+		h.current.close()
+	}
+	_ = e.storeServer.Close() // the run has ended, so an error has no consequence
+}
