--- a/catalog/holder.go
+++ b/catalog/holder.go
@@ -11,15 +11,16 @@
 type Holder struct {
 	current *Catalog
 	edition Edition
-	raw     []byte // the current document as stored
+	raw     []byte // the document in force as stored
 }
 
 // Decode decodes a stored document into a catalog.
 type Decode func(raw []byte) (*Catalog, error)
 
-// Offer decodes a document read at the position of the store, and reports whether it is newly in
-// force. An earlier edition, and the document already in force, are ignored. If the document cannot
-// be decoded, Offer returns the error and the current configuration stays in force.
+// Offer decodes a document that was read at the position of the store, and reports whether it replaced
+// the document in force. A document whose edition is not newer is ignored. If the document is already
+// in force, only the position of its edition advances, to the later of the two positions. If the
+// document cannot be decoded, Offer returns the error and the document in force remains.
 func (h *Holder) Offer(raw []byte, at store.Position, decode Decode) (bool, error) {
 	if h.current != nil && bytes.Equal(raw, h.raw) {
 		h.edition.At = store.Later(h.edition.At, at)
@@ -40,8 +41,10 @@
 // Current returns the catalog in force, or nil if no document was accepted yet.
 func (h *Holder) Current() *Catalog { return h.current }
 
-// Edition returns the edition of the document in force; zero if no document was accepted yet.
+// Edition returns the edition of the document in force, or the zero Edition if no document was accepted
+// yet.
 func (h *Holder) Edition() Edition { return h.edition }
 
-// Raw returns the document in force as stored; it must not be modified.
+// Raw returns the document in force as stored, or nil if no document was accepted yet. The caller must
+// not modify it.
 func (h *Holder) Raw() []byte { return h.raw }
--- a/gateway/describe.go
+++ b/gateway/describe.go
@@ -6,7 +6,8 @@
 	"clovertrail.dev/retry"
 )
 
-// describe returns a short description of the outcome of an attempt or of a retry command, for a log line.
+// describe returns the text of a retry.Outcome or a retry.Command for a log line. Package cli/logs
+// reads these texts; it takes the part after the first ": " as the error of the attempt.
 func describe(x any) string {
 	switch x := x.(type) {
 	case retry.Answered:
