--- a/quarantine/register_test.go
+++ b/quarantine/register_test.go
@@ -21,17 +21,18 @@
 
 const fatal call.Digest = "fatal"
 
-// ended returns the observation that a target ended under the work, at that time after begin.
+// ended returns the observation that the target ended at begin+after while it ran the work.
 func ended(d call.Digest, target string, after time.Duration) quarantine.Observation {
 	return quarantine.Observation{Digest: d, Target: domain.InstanceID(target), At: begin.Add(after)}
 }
 
-// served returns the observation that the fatal work was served, at that time after begin.
+// served returns the observation that the fatal work was served at begin+after.
 func served(after time.Duration) quarantine.Observation {
 	return quarantine.Observation{Digest: fatal, At: begin.Add(after)}
 }
 
-// observe adds the observations to the register, each at its own time.
+// observe adds the observations to the register, each at the time that it states, and returns the
+// register.
 func observe(r *quarantine.Register, observations ...quarantine.Observation) *quarantine.Register {
 	for _, o := range observations {
 		r.Observe(o.At, o)
@@ -39,9 +40,9 @@
 	return r
 }
 
-// TestRegisterQuarantinesWork guards against work that ends a target with each attempt, as happened
-// in an incident, and against a quarantine of harmless work that ran beside it: work that was hit
-// once, or that many callers send.
+// TestRegisterQuarantinesWork guards against two faults: work that crashes a target with each attempt
+// keeps being tried, as happened in an incident; and harmless work is put in quarantine since it ran on
+// the targets that crashed, either once or repeatedly because many callers send the same request.
 func TestRegisterQuarantinesWork(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -65,23 +66,23 @@
 		{"served recently, four targets ended", []quarantine.Observation{served(0), ended(fatal, "a", time.Second), ended(fatal, "b", time.Second), ended(fatal, "c", time.Second), ended(fatal, "d", time.Second)},
 			time.Second, 121 * time.Second},
 		{"served long ago, two targets ended", []quarantine.Observation{served(0), ended(fatal, "a", 2*time.Minute), ended(fatal, "b", 2*time.Minute)}, 2 * time.Minute, 4 * time.Minute},
-		{"served before two targets ended, observed late", []quarantine.Observation{ended(fatal, "a", 2*time.Second), ended(fatal, "b", 2*time.Second), served(time.Second)}, 3 * time.Second, 0},
+		{"served before two targets ended, service observed last", []quarantine.Observation{ended(fatal, "a", 2*time.Second), ended(fatal, "b", 2*time.Second), served(time.Second)}, 3 * time.Second, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := observe(quarantine.NewRegister(), tc.observations...)
 			until, quarantined := r.QuarantinedUntil(begin.Add(tc.at), fatal)
 			if quarantined != (tc.want > 0) {
-				t.Fatalf("quarantined %v, until %v", quarantined, until.Sub(begin))
+				t.Fatalf("quarantined = %v, until begin+%v, want %v", quarantined, until.Sub(begin), tc.want > 0)
 			}
 			if quarantined && until.Sub(begin) != tc.want {
-				t.Errorf("until %v, want %v", until.Sub(begin), tc.want)
+				t.Errorf("quarantined until begin+%v, want begin+%v", until.Sub(begin), tc.want)
 			}
 		})
 	}
 }
 
-// TestRegisterReportsChanges checks the change of each observation: only a new one is sent to other
-// boxes at once, and logged.
+// TestRegisterReportsChanges checks the Change that Observe returns for each observation: a box logs
+// observations and sends them to other boxes at once only if they changed its register.
 func TestRegisterReportsChanges(t *testing.T) {
 	r := quarantine.NewRegister()
 	for i, tc := range []struct {
@@ -113,7 +114,7 @@
 			target := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(rt, "target")
 			observations = append(observations, ended(d, target, time.Duration(len(observations))*time.Second))
 		}
-		seen := map[string]bool{} // a target ends once
+		seen := map[string]bool{} // each target ends at most once under a work
 		unique := observations[:0]
 		for _, o := range observations {
 			if key := string(o.Digest) + string(o.Target); !seen[key] {
@@ -134,27 +135,27 @@
 			a, aQuarantined := one.QuarantinedUntil(now, d)
 			b, bQuarantined := other.QuarantinedUntil(now, d)
 			if !a.Equal(b) || aQuarantined != bQuarantined {
-				rt.Fatalf("%s: quarantined until %v, %v against %v, %v", d, a, aQuarantined, b, bQuarantined)
+				rt.Fatalf("work %s: QuarantinedUntil = %v, %v in one register and %v, %v in the other", d, a, aQuarantined, b, bQuarantined)
 			}
 		}
 	})
 }
 
-// TestLatestObservationsInformIsolatedBoxes checks that the observations of quarantines are sent as
-// long as these last, for boxes that were isolated, those of other work only while they are new,
-// and never more than fit into a message.
+// TestLatestObservationsInformIsolatedBoxes checks which observations Latest returns: those of a work in
+// quarantine as long as the quarantine lasts, so that boxes that were isolated receive them; those of
+// other works only while they are new; and never more than fit into a message.
 func TestLatestObservationsInformIsolatedBoxes(t *testing.T) {
 	r := observe(quarantine.NewRegister(), ended(fatal, "a", 0), ended(fatal, "b", 0), ended("hit once", "a", 0))
 	now := begin.Add(time.Minute)
-	late := observe(quarantine.NewRegister())
+	isolated := observe(quarantine.NewRegister())
 	for _, o := range r.Latest(now, true) {
-		late.Observe(now, o)
+		isolated.Observe(now, o)
 	}
-	if _, quarantined := late.QuarantinedUntil(now, fatal); !quarantined {
-		t.Error("a box that was isolated does not have the quarantine")
+	if _, quarantined := isolated.QuarantinedUntil(now, fatal); !quarantined {
+		t.Error("the work is not in quarantine on a box that was isolated and received the latest observations")
 	}
 	if n := len(r.Latest(now, true)); n != 2 {
-		t.Errorf("%d observations are sent, want those of two ended targets", n)
+		t.Errorf("%d observations are sent, want 2: one for each target that ended under the work in quarantine", n)
 	}
 	if n := len(r.Latest(now, false)); n != 0 {
 		t.Errorf("%d old observations are sent again, want none", n)
@@ -170,29 +171,30 @@
 	}
 }
 
-// TestRegisterIsBounded guards against targets that end under thousands of works and so fill the
-// box's memory, or evict works that are in quarantine.
+// TestRegisterIsBounded guards against two faults if targets end under thousands of works: the register
+// grows without bound, or works in quarantine are evicted.
 func TestRegisterIsBounded(t *testing.T) {
 	r := observe(quarantine.NewRegister(), ended(fatal, "a", 0), ended(fatal, "b", 0))
-	const most = 1024
-	for i := range 3 * most {
+	const maxWorks = 1024
+	for i := range 3 * maxWorks {
 		at := time.Duration(i) * time.Millisecond
 		r.Observe(begin.Add(at), ended(call.Digest(fmt.Sprint("hit ", i)), "c", at))
 	}
-	known := 0
-	for i := range 3 * most {
-		known += r.EndedTargets(call.Digest(fmt.Sprint("hit ", i)))
+	remembered := 0
+	for i := range 3 * maxWorks {
+		remembered += r.EndedTargets(call.Digest(fmt.Sprint("hit ", i)))
 	}
-	if known > most {
-		t.Errorf("%d works are remembered, want at most 1024", known)
+	if remembered > maxWorks {
+		t.Errorf("%d works are remembered, want at most %d", remembered, maxWorks)
 	}
 	if _, quarantined := r.QuarantinedUntil(begin.Add(time.Minute), fatal); !quarantined {
 		t.Error("the work in quarantine was evicted")
 	}
 }
 
-// TestRecordRestoresQuarantine checks that a stored record gives a box without observations the same
-// quarantine, until it expires, and that invalid records are rejected.
+// TestRecordRestoresQuarantine checks that a box without observations that reads a stored record has the
+// same quarantine as the box that wrote it, that the record expires, and that invalid records are
+// rejected.
 func TestRecordRestoresQuarantine(t *testing.T) {
 	r := observe(quarantine.NewRegister(), ended(fatal, "a@7", 0), ended(fatal, "b", time.Second))
 	raw, err := json.Marshal(quarantine.NewRecord(r.Observations(fatal)))
@@ -210,10 +212,10 @@
 	}
 	until, quarantined := other.QuarantinedUntil(now, fatal)
 	if want, _ := r.QuarantinedUntil(now, fatal); !quarantined || !until.Equal(want) {
-		t.Errorf("quarantined %v until %v, want %v", quarantined, until, want)
+		t.Errorf("quarantined = %v, until %v, want quarantined until %v", quarantined, until, want)
 	}
 	if restored.Expired(begin.Add(time.Hour)) || !restored.Expired(begin.Add(2*time.Hour)) {
-		t.Error("the record expires too early, or never")
+		t.Error("the record is expired after 1 h, or is not expired after 2 h")
 	}
 	for _, bad := range []string{"", "{}", `{"digest":"x"}`, `{"digest":"","ended":{"a":1}}`, `{"digest":"x","ended":[]}`} {
 		if json.Unmarshal([]byte(bad), &restored) == nil {
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -16,20 +16,20 @@
 	"clovertrail.dev/transport"
 )
 
-// peer is a server that passes each request to a script, with the request's number on its connection,
-// from 0. The script writes the response and returns whether the connection stays open.
-type peer struct {
-	l     net.Listener
-	conns atomic.Int32
+// scriptedServer is a server that calls a script for each request, with the number n of the request on its
+// connection, from 0. The script writes the response and returns whether the connection stays open.
+type scriptedServer struct {
+	listener net.Listener
+	conns    atomic.Int32 // number of connections accepted
 }
 
-func newPeer(t *testing.T, script func(n int, w net.Conn, r *http.Request) (keepOpen bool)) *peer {
+func newScriptedServer(t *testing.T, script func(n int, w net.Conn, r *http.Request) (keepOpen bool)) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{l: l}
+	p := &scriptedServer{listener: l}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -59,8 +59,9 @@
 	}
 }
 
-func (p *peer) address() string { return p.l.Addr().String() }
+func (p *scriptedServer) address() string { return p.listener.Addr().String() }
 
+// write writes text with CRLF line ends. It ignores errors, since the client may have closed the connection.
 func write(w io.Writer, text string) {
 	_, _ = io.WriteString(w, strings.ReplaceAll(text, "\n", "\r\n"))
 }
@@ -96,10 +97,10 @@
 
 func TestPoolReusesIdleConnections(t *testing.T) {
 	tests := []struct {
-		name   string
-		answer string
-		reuse  transport.Reuse
-		conns  int32
+		name      string
+		response  string
+		reuse     transport.Reuse
+		wantConns int32
 	}{
 		{"reused", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nok", transport.ReuseIdle, 1},
 		{"new connection each time", "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nok", transport.DialNew, 3},
@@ -109,43 +110,43 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			peer := newPeer(t, func(_ int, w net.Conn, _ *http.Request) bool {
-				write(w, tc.answer)
+			server := newScriptedServer(t, func(_ int, w net.Conn, _ *http.Request) bool {
+				write(w, tc.response)
 				return true
 			})
 			pool := newPool()
 			defer pool.Close()
 			for range 3 {
-				if body, err := get(t, pool, peer.address(), tc.reuse); body != "ok" || err != nil {
-					t.Fatalf("got %q, %v", body, err)
+				if body, err := get(t, pool, server.address(), tc.reuse); body != "ok" || err != nil {
+					t.Fatalf("got body %q, error %v; want \"ok\"", body, err)
 				}
 			}
-			if n := peer.conns.Load(); n != tc.conns {
-				t.Errorf("%d connections, want %d", n, tc.conns)
+			if n := server.conns.Load(); n != tc.wantConns {
+				t.Errorf("%d connections were opened, want %d", n, tc.wantConns)
 			}
 		})
 	}
 }
 
 func TestReceiveSkipsResponsesToOtherRequests(t *testing.T) {
-	peer := newPeer(t, func(_ int, w net.Conn, _ *http.Request) bool {
+	server := newScriptedServer(t, func(_ int, w net.Conn, _ *http.Request) bool {
 		write(w, "HTTP/1.1 200 OK\nId: late\nContent-Length: 5\n\nwrongHTTP/1.1 100 Continue\n\nHTTP/1.1 200 OK\nId: 1\nContent-Length: 5\n\nright")
 		return true
 	})
 	pool := newPool()
 	defer pool.Close()
-	if body, err := get(t, pool, peer.address(), transport.ReuseIdle); body != "right" || err != nil {
-		t.Errorf("got %q, %v", body, err)
+	if body, err := get(t, pool, server.address(), transport.ReuseIdle); body != "right" || err != nil {
+		t.Errorf("got body %q, error %v; want \"right\"", body, err)
 	}
 }
 
 func TestReceiveFailsAfterTooManyForeignResponses(t *testing.T) {
-	peer := newPeer(t, func(_ int, w net.Conn, _ *http.Request) bool {
+	server := newScriptedServer(t, func(_ int, w net.Conn, _ *http.Request) bool {
 		write(w, strings.Repeat("HTTP/1.1 200 OK\nId: late\nContent-Length: 1\n\nx", 10))
 		return true
 	})
-	if body, err := get(t, newPool(), peer.address(), transport.ReuseIdle); err == nil {
-		t.Errorf("got %q", body)
+	if body, err := get(t, newPool(), server.address(), transport.ReuseIdle); err == nil {
+		t.Errorf("got body %q, want an error after 10 responses to other requests", body)
 	}
 }
 
@@ -159,13 +160,13 @@
 		"cut header":     "HTTP/1.1 200 OK\nId:",
 		"invalid header": "HTTP/1.1 200 OK\n: :\x00\n\n",
 	}
-	for name, answer := range tests {
+	for name, response := range tests {
 		t.Run(name, func(t *testing.T) {
-			peer := newPeer(t, func(_ int, w net.Conn, _ *http.Request) bool {
-				write(w, answer)
+			server := newScriptedServer(t, func(_ int, w net.Conn, _ *http.Request) bool {
+				write(w, response)
 				return false
 			})
-			if body, err := get(t, newPool(), peer.address(), transport.ReuseIdle); err == nil {
+			if body, err := get(t, newPool(), server.address(), transport.ReuseIdle); err == nil {
 				t.Errorf("got %q as a complete response", body)
 			}
 		})
@@ -173,16 +174,16 @@
 }
 
 func TestResponseWithoutLengthEndsWithConnection(t *testing.T) {
-	peer := newPeer(t, func(_ int, w net.Conn, _ *http.Request) bool {
+	server := newScriptedServer(t, func(_ int, w net.Conn, _ *http.Request) bool {
 		write(w, "HTTP/1.1 200 OK\nId: 1\n\nwhole")
 		return false
 	})
-	if body, err := get(t, newPool(), peer.address(), transport.ReuseIdle); body != "whole" || err != nil {
-		t.Errorf("got %q, %v", body, err)
+	if body, err := get(t, newPool(), server.address(), transport.ReuseIdle); body != "whole" || err != nil {
+		t.Errorf("got body %q, error %v; want \"whole\"", body, err)
 	}
-	reset := newPeer(t, func(_ int, w net.Conn, _ *http.Request) bool {
+	reset := newScriptedServer(t, func(_ int, w net.Conn, _ *http.Request) bool {
 		write(w, "HTTP/1.1 200 OK\nId: 1\n\nhal")
-		_ = w.(*net.TCPConn).SetLinger(0) // closing now resets
+		_ = w.(*net.TCPConn).SetLinger(0) // makes Close reset the connection
 		return false
 	})
 	if body, err := get(t, newPool(), reset.address(), transport.ReuseIdle); err == nil {
@@ -192,8 +193,8 @@
 
 func TestSentReportsWhetherAByteMayHaveLeft(t *testing.T) {
 	pool := newPool()
-	peer := newPeer(t, func(int, net.Conn, *http.Request) bool { return false })
-	x, err := pool.Open(context.Background(), peer.address(), transport.DialNew)
+	server := newScriptedServer(t, func(int, net.Conn, *http.Request) bool { return false })
+	x, err := pool.Open(context.Background(), server.address(), transport.DialNew)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -203,29 +204,29 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	x.CloseWhenDone(ctx)
 	cancel()
-	for x.Send(request()) == nil { // until the connection is closed
+	for x.Send(request()) == nil { // another goroutine closes the connection; Send fails from then on
 	}
 	x.Close()
 
-	y, err := pool.Open(context.Background(), peer.address(), transport.DialNew)
+	y, err := pool.Open(context.Background(), server.address(), transport.DialNew)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := y.Send(request()); err != nil || !y.Sent() {
-		t.Errorf("after Send: Sent = %v, err = %v", y.Sent(), err)
+		t.Errorf("after Send: Sent = %v, error %v; want true and no error", y.Sent(), err)
 	}
 	y.Close()
 }
 
 func TestContextEndClosesConnection(t *testing.T) {
 	closed := make(chan error, 1)
-	peer := newPeer(t, func(_ int, w net.Conn, _ *http.Request) bool {
+	server := newScriptedServer(t, func(_ int, w net.Conn, _ *http.Request) bool {
 		var b [1]byte
 		_, err := w.Read(b[:])
 		closed <- err
 		return false
 	})
-	x, err := newPool().Open(context.Background(), peer.address(), transport.ReuseIdle)
+	x, err := newPool().Open(context.Background(), server.address(), transport.ReuseIdle)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -245,24 +246,25 @@
 }
 
 func TestPoolSkipsConnectionsClosedByTarget(t *testing.T) {
-	peer := newPeer(t, func(n int, w net.Conn, _ *http.Request) bool {
+	server := newScriptedServer(t, func(n int, w net.Conn, _ *http.Request) bool {
 		write(w, "HTTP/1.1 200 OK\nId: 1\nContent-Length: 2\n\nok")
 		return false // closes without a "Connection: close" header
 	})
 	pool := newPool()
 	defer pool.Close()
 	for range 3 {
-		if _, err := get(t, pool, peer.address(), transport.ReuseIdle); err != nil {
+		if _, err := get(t, pool, server.address(), transport.ReuseIdle); err != nil {
 			t.Fatal(err)
 		}
-		waitClosed(t, pool, peer.address())
+		waitClosed(t, pool, server.address())
 	}
-	if n := peer.conns.Load(); n < 3 {
-		t.Errorf("%d connections, want at least 3", n)
+	if n := server.conns.Load(); n < 3 {
+		t.Errorf("%d connections were opened, want at least 3", n)
 	}
 }
 
-// waitClosed opens exchanges until no idle connection to the peer is left that could be reused.
+// waitClosed opens and closes exchanges until one has a new connection, so that the pool has no idle
+// connection to the address left. An exchange without a response closes its connection, also a reused one.
 func waitClosed(t *testing.T, pool *transport.Pool, address string) {
 	t.Helper()
 	for {
@@ -288,6 +290,6 @@
 	_, err = newPool().Open(context.Background(), address, transport.ReuseIdle)
 	var op *net.OpError
 	if !errors.As(err, &op) || op.Op != "dial" {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want a *net.OpError of the operation dial", err)
 	}
 }
