--- a/local/boxes.go
+++ b/local/boxes.go
@@ -58,8 +58,8 @@
 	return p.leave != nil
 }
 
-// Lives is how often the process was started.
-func (p *life) Lives() int {
+// Starts is how often the process was started.
+func (p *life) Starts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lives
@@ -101,7 +101,7 @@
 
 // Start starts the process.
 func (e *EntryBox) Start() error {
-	h := e.system.Network.Host(domain.HallName(e.settings.Hall))
+	h := e.system.Network.NewHost(domain.HallName(e.settings.Hall))
 	settings := e.settings
 	e.begin(e.system, h, node.NewEntry(e.system.common(settings.Box), h, func() process.EntrySettings { return settings }).Run)
 	return nil
@@ -110,8 +110,8 @@
 // Name is the name of the box.
 func (e *EntryBox) Name() string { return e.settings.Box }
 
-// Life names the present start of its process.
-func (e *EntryBox) Life() string { return fmt.Sprintf("%s, start %d", e.settings.Box, e.Lives()) }
+// StartID names the present start of its process.
+func (e *EntryBox) StartID() string { return fmt.Sprintf("%s, start %d", e.settings.Box, e.Starts()) }
 
 // Hall is its data hall.
 func (e *EntryBox) Hall() domain.HallName { return domain.HallName(e.settings.Hall) }
@@ -145,7 +145,7 @@
 
 // Start starts the agent.
 func (a *AgentBox) Start() error {
-	h := a.system.Network.Host(domain.HallName(a.settings.Hall))
+	h := a.system.Network.NewHost(domain.HallName(a.settings.Hall))
 	settings := a.settings
 	a.begin(a.system, h, rank.NewAgent(a.system.common(settings.Box), h, func() process.AgentSettings { return settings }).Run)
 	return nil
@@ -168,7 +168,7 @@
 func (t *TargetBox) Target() *standin.Target { return t.target }
 
 func (t *TargetBox) start() error {
-	t.host = t.system.Network.Host(t.hall)
+	t.host = t.system.Network.NewHost(t.hall)
 	t.address = fmt.Sprintf("%s:%d", t.system.Network.ip(), enginePort)
 	t.target = standin.NewTarget(t.id, PlainService, t.system.ran)
 	t.target.Bear(time.Now())
@@ -185,21 +185,21 @@
 	return err
 }
 
-// Leave writes to the store that the target is leaving; it goes on serving.
-func (t *TargetBox) Leave() error { return t.list("draining") }
+// MarkLeaving writes to the store that the target is leaving; it goes on serving.
+func (t *TargetBox) MarkLeaving() error { return t.list("draining") }
 
-// ListAgain writes the target's entry anew, as ready.
-func (t *TargetBox) ListAgain() error { return t.list("ready") }
+// Relist writes the target's entry anew, as ready.
+func (t *TargetBox) Relist() error { return t.list("ready") }
 
-// Vanish takes the target's entry away without notice; it goes on serving.
-func (t *TargetBox) Vanish() { t.system.Store.Remove("servers", t.id) }
+// Unlist takes the target's entry away without notice; it goes on serving.
+func (t *TargetBox) Unlist() { t.system.Store.Remove("servers", t.id) }
 
 // Kill cuts the target from the network, with its entry left behind.
 func (t *TargetBox) Kill() { t.host.Kill() }
 
-// StartAgain kills the target and starts it anew under its id, at another address. It
+// Restart kills the target and starts it anew under its id, at another address. It
 // remembers nothing, and works as its program did before.
-func (t *TargetBox) StartAgain() error {
+func (t *TargetBox) Restart() error {
 	t.Kill()
 	habits := t.target.Habits()
 	if err := t.start(); err != nil {
@@ -221,7 +221,7 @@
 		select {
 		case <-t.system.closing:
 		case <-back.C:
-			if err := t.StartAgain(); err != nil {
+			if err := t.Restart(); err != nil {
 				t.system.ended(err)
 			}
 		}
--- a/local/invariant_test.go
+++ b/local/invariant_test.go
@@ -248,15 +248,15 @@
 		leave func(*local.System) // makes target 0 leave, which goes on serving
 		also  []trouble
 	}{
-		{"it says that it is leaving", func(s *local.System) { _ = s.Targets()[0].Leave() }, nil},
-		{"its entry goes without a word", func(s *local.System) { s.Targets()[0].Vanish() }, nil},
-		{"one hall is turned away by the store", func(s *local.System) { _ = s.Targets()[0].Leave() },
+		{"it says that it is leaving", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() }, nil},
+		{"its entry goes without a word", func(s *local.System) { s.Targets()[0].Unlist() }, nil},
+		{"one hall is turned away by the store", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() },
 			[]trouble{{kind: "cut store", at: time.Second, last: 15 * time.Second}}},
-		{"the store answers slowly", func(s *local.System) { _ = s.Targets()[0].Leave() },
+		{"the store answers slowly", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() },
 			[]trouble{{kind: "store slow", at: time.Second, last: 15 * time.Second}}},
-		{"the store forgets its history", func(s *local.System) { _ = s.Targets()[0].Leave() },
+		{"the store forgets its history", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() },
 			[]trouble{{kind: "store forgets", at: 2900 * time.Millisecond, last: 50 * time.Millisecond}}},
-		{"a box dies in the moment", func(s *local.System) { _ = s.Targets()[0].Leave() },
+		{"a box dies in the moment", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() },
 			[]trouble{{kind: "kill entry", at: 2990 * time.Millisecond, last: 200 * time.Millisecond, pick: 1}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -358,14 +358,14 @@
 // probe asks for the route that the newest version brought, and for the newest one that
 // this life of the box is known to have served.
 func probe(s *local.System, h *history, e *local.EntryBox, served map[string]int, version int) {
-	life := e.Life()
+	life := e.StartID()
 	ask := func(v int) standin.Reply {
 		return scenario{within: time.Second}.ask(s, h, e, standin.VersionPath(v))
 	}
 	if ask(version).Right {
 		served[life] = max(served[life], version)
 	}
-	if before := served[life]; before > 0 && before < version && ask(before).Status == 404 && e.Life() == life {
+	if before := served[life]; before > 0 && before < version && ask(before).Status == 404 && e.StartID() == life {
 		h.fault("%s served version %d and then knew no such route", life, before)
 	}
 }
--- a/local/limit_test.go
+++ b/local/limit_test.go
@@ -201,7 +201,7 @@
 			sc.operate = func(s *local.System, _ *history) {
 				for i, text := range tc.texts {
 					if slices.Contains(tc.starts, i) {
-						if err := s.Targets()[0].StartAgain(); err != nil {
+						if err := s.Targets()[0].Restart(); err != nil {
 							t.Error(err)
 						}
 					}
--- a/local/network.go
+++ b/local/network.go
@@ -86,8 +86,8 @@
 	dead    bool // guarded by network.mu
 }
 
-// Host returns the end of a process in the data hall.
-func (n *Network) Host(hall domain.HallName) *Host { return &Host{network: n, hall: hall} }
+// NewHost returns the end of a process in the data hall.
+func (n *Network) NewHost(hall domain.HallName) *Host { return &Host{network: n, hall: hall} }
 
 // Listen implements node.Network.
 func (h *Host) Listen(address string) (net.Listener, error) {
--- a/local/restore_test.go
+++ b/local/restore_test.go
@@ -120,7 +120,7 @@
 			if r := (scenario{}).ask(s, h, e, standin.VersionPath(version)); !r.Right {
 				h.fault("%s answers %d on the route of version %d after the bound", e.Name(), r.Status, version)
 			}
-			served[e.Life()] = version
+			served[e.StartID()] = version
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	time.Sleep(time.Second)
 	for _, e := range s.Entries() {
 		if version > 0 {
-			served[e.Life()] = version
+			served[e.StartID()] = version
 		}
 	}
 	s.Store.SetTrouble(standin.Silent, 0)
@@ -148,13 +148,13 @@
 	s.Store.Restore(held)
 	for range 2 * way.lost {
 		if way.others {
-			_ = s.Targets()[0].ListAgain() // an object of the test's own, which the store takes
+			_ = s.Targets()[0].Relist() // an object of the test's own, which the store takes
 		}
 	}
 	s.Store.SetTrouble(standin.Sound, storeTakes)
 	time.Sleep(way.away)
 	for _, e := range s.Entries() {
-		before := served[e.Life()]
+		before := served[e.StartID()]
 		if before > 0 && !(scenario{}).ask(s, h, e, standin.VersionPath(before)).Right {
 			h.fault("%s served version %d and does not know its route after the restore", e.Name(), before)
 		}
@@ -174,12 +174,12 @@
 // TestTargetsAfterARestore guards against leaving targets that get new work, and living ones that
 // get none, because the store came back from an older copy.
 func TestTargetsAfterARestore(t *testing.T) {
-	leave := func(s *local.System) { _ = s.Targets()[0].Leave() }
-	again := func(s *local.System) { _ = s.Targets()[0].StartAgain() }
-	list := func(s *local.System) { _ = s.Targets()[0].ListAgain() }
+	leave := func(s *local.System) { _ = s.Targets()[0].MarkLeaving() }
+	again := func(s *local.System) { _ = s.Targets()[0].Restart() }
+	list := func(s *local.System) { _ = s.Targets()[0].Relist() }
 	listOthers := func(s *local.System) {
 		for range 8 {
-			_ = s.Targets()[1].ListAgain()
+			_ = s.Targets()[1].Relist()
 		}
 	}
 	none := func(*local.System) {}
@@ -197,7 +197,7 @@
 		{name: "it leaves after the restore, and half of the boxes hear it from others", before: listOthers, at: none, later: leave, cut: true},
 		{name: "it had left, and is ready in the copy", before: leave, at: none, later: leave, left: true},
 		{name: "it had left, and revisions have passed those of before", before: leave, at: listOthers, later: leave, left: true},
-		{name: "its entry had gone, and is in the copy", before: func(s *local.System) { s.Targets()[0].Vanish() }, at: none, later: func(s *local.System) { s.Targets()[0].Vanish() }, left: true},
+		{name: "its entry had gone, and is in the copy", before: func(s *local.System) { s.Targets()[0].Unlist() }, at: none, later: func(s *local.System) { s.Targets()[0].Unlist() }, left: true},
 		{name: "it started after the copy, and writes again", before: again, at: none, later: list, stays: true},
 		{name: "it lives throughout", before: listOthers, at: none, later: none, stays: true},
 	} {
--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -142,13 +142,13 @@
 		func(s *local.System, _ int) { s.Store.Compact() },
 		func(s *local.System, _ int) { s.Store.Compact() }},
 	"target starts again": {
-		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].StartAgain() },
-		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].StartAgain() }},
+		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Restart() },
+		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Restart() }},
 	"target full": habit(func(h *standin.Habits, on bool) { h.Full = on }),
 	// As its entry may change for another reason: it is listed anew, and still as ready.
 	"list again": {
-		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].ListAgain() },
-		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].ListAgain() }},
+		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Relist() },
+		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Relist() }},
 	"target fails":  habit(func(h *standin.Habits, on bool) { h.Fail = on }),
 	"answers lost":  habit(func(h *standin.Habits, on bool) { h.Drop = on }),
 	"target breaks": habit(func(h *standin.Habits, on bool) { h.BreakAt = map[bool]int{true: 3}[on] }),
--- a/local/system.go
+++ b/local/system.go
@@ -84,12 +84,12 @@
 		Network: NewNetwork(l.Memory), Store: standin.NewStore(), layout: l, metrics: telemetry.NewMetrics(),
 		cancel: cancel, closing: ctx.Done(),
 	}
-	s.callers = s.Network.Host("callers")
+	s.callers = s.Network.NewHost("callers")
 	s.client = &http.Client{Transport: &http.Transport{
 		DialContext: s.dialCallers, DisableCompression: true, MaxIdleConnsPerHost: 16,
 	}}
 	s.storeAt = s.Network.ip() + ":80"
-	if err := s.serve(s.Network.Host(StoreHall), s.storeAt, s.Store); err != nil {
+	if err := s.serve(s.Network.NewHost(StoreHall), s.storeAt, s.Store); err != nil {
 		return nil, err
 	}
 	for i := range l.Targets {
@@ -152,7 +152,7 @@
 	for r := range s.layout.Group.Ranks {
 		ip, hall := s.Network.ip(), s.hall(r)
 		engine := fmt.Sprintf("%s:%d", ip, enginePort)
-		if err := s.serve(s.Network.Host(hall), engine, s.group.Handler(r)); err != nil {
+		if err := s.serve(s.Network.NewHost(hall), engine, s.group.Handler(r)); err != nil {
 			return err
 		}
 		a := &AgentBox{system: s, settings: process.DefaultAgentSettings()}
