--- a/demo/play.go
+++ b/demo/play.go
@@ -173,12 +173,12 @@
 // and once more if the caller is informed when to come back.
 func (w Workload) ask(s *local.System, r *Result, kind string, pick int, id string) {
 	q := standin.Request{ID: id, Path: paths[kind], Key: key, Body: "text", Within: within}
-	reply := s.Ask(context.Background(), ready(s, pick), q)
+	reply := s.SendRequest(context.Background(), ready(s, pick), q)
 	if reply.NotRun() && reply.Again > 0 {
 		r.cameBack()
 		time.Sleep(reply.Again)
 		q.ID += "-again"
-		reply = s.Ask(context.Background(), ready(s, pick+1), q)
+		reply = s.SendRequest(context.Background(), ready(s, pick+1), q)
 	}
 	r.add(kind, reply)
 }
--- a/local/fatal_test.go
+++ b/local/fatal_test.go
@@ -48,7 +48,7 @@
 		}
 		if e.Running() {
 			q := standin.Request{ID: h.id(), Path: c.path, Key: key, Body: fatal, Within: c.within}
-			h.add(asked{request: q, box: e.Name(), at: time.Now(), reply: s.Ask(context.Background(), e, q)})
+			h.add(asked{request: q, box: e.Name(), at: time.Now(), reply: s.SendRequest(context.Background(), e, q)})
 		}
 		time.Sleep(300 * time.Millisecond)
 		if c.between != nil {
--- a/local/restart_test.go
+++ b/local/restart_test.go
@@ -28,7 +28,7 @@
 			}
 			time.Sleep(soon)
 			q := standin.Request{ID: fmt.Sprintf("again-%d", i), Path: "/again/x", Key: key, Within: time.Second}
-			got = append(got, s.Ask(context.Background(), box, q).Status)
+			got = append(got, s.SendRequest(context.Background(), box, q).Status)
 			time.Sleep(time.Second)
 		}
 	}
@@ -80,7 +80,7 @@
 			for i := range callers {
 				wg.Go(func() {
 					q := standin.Request{ID: fmt.Sprintf("%s-%d", name, i), Path: "/again/x", Key: key, Within: within}
-					if got := s.Ask(context.Background(), box, q); got.Status == 0 {
+					if got := s.SendRequest(context.Background(), box, q); got.Status == 0 {
 						t.Errorf("%s: caller %d got no answer: %v", name, i, got.Err)
 					}
 				})
--- a/local/restore_test.go
+++ b/local/restore_test.go
@@ -275,7 +275,7 @@
 				s.Store.SetTrouble(standin.Sound, storeTakes)
 				held := s.Store.Copy()
 				e := entry(s, 0)
-				s.Ask(context.Background(), e, standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Within: 2 * time.Second})
+				s.SendRequest(context.Background(), e, standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Within: 2 * time.Second})
 				time.Sleep(2 * time.Second)
 				if len(s.Store.Names("quarantine")) == 0 {
 					h.fault("nothing was kept, so the test shows nothing")
@@ -302,7 +302,7 @@
 				killAll(s)
 				time.Sleep(3 * time.Second)
 				before := len(s.Runs())
-				s.Ask(context.Background(), entry(s, 1), standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Within: 2 * time.Second})
+				s.SendRequest(context.Background(), entry(s, 1), standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Within: 2 * time.Second})
 				for _, r := range s.Runs()[before:] {
 					if r.Body == fatal {
 						h.fault("%s ran it again", r.Target)
--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -221,7 +221,7 @@
 		}
 		sys, err := local.Start(local.Layout{
 			Halls: halls, Entries: cmp.Or(sc.entries, 4), Targets: cmp.Or(sc.targets, 4), Group: &shape,
-			Keys: map[string]string{"org": key}, Bounds: bounds(), Memory: true, Link: sc.link, Log: sc.log,
+			Keys: map[string]string{"org": key}, Bounds: bounds(), Memory: true, LinkMbps: sc.link, Log: sc.log,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -251,7 +251,7 @@
 		sc.behave(sys.Group().Target(r))
 	}
 	for _, e := range sys.Entries() {
-		for tries := 0; !sys.Ask(t.Context(), e, standin.Request{ID: "first", Path: "/again/x", Key: key, Within: time.Second}).Right; tries++ {
+		for tries := 0; !sys.SendRequest(t.Context(), e, standin.Request{ID: "first", Path: "/again/x", Key: key, Within: time.Second}).Right; tries++ {
 			if tries > 100 {
 				t.Fatalf("%s never serves", e.Name())
 			}
@@ -311,7 +311,7 @@
 func (sc scenario) ask(sys *local.System, h *history, e *local.EntryBox, path string) standin.Reply {
 	q := standin.Request{ID: h.id(), Path: path, Key: key, Body: "text of " + path, Within: max(sc.within, 4*time.Second)}
 	a := asked{request: q, box: e.Name(), at: time.Now()}
-	a.reply = sys.Ask(context.Background(), e, q)
+	a.reply = sys.SendRequest(context.Background(), e, q)
 	a.done = time.Now()
 	h.add(a)
 	return a.reply
--- a/local/system.go
+++ b/local/system.go
@@ -39,9 +39,9 @@
 	Targets int // that stand alone, dealt out over the halls
 	// Group is the group of ranks, dealt out over the halls; nil for none.
 	Group *standin.GroupShape
-	// Link is what the boxes of ranks are configured with as the rate of their links, in Mbit/s; 0 for
+	// LinkMbps is what the boxes of ranks are configured with as the rate of their links, in Mbit/s; 0 for
 	// plenty.
-	Link float64
+	LinkMbps float64
 	// Keys are by organisation.
 	Keys   map[string]string
 	Bounds process.Bounds
@@ -158,7 +158,7 @@
 		a := &AgentBox{system: s, settings: process.DefaultAgentSettings()}
 		a.settings.Box, a.settings.Hall, a.settings.Engine = fmt.Sprintf("rank-%d", r), string(hall), engine
 		a.settings.Peers, a.settings.Bounds = fmt.Sprintf("%s:%d", ip, agentPort), s.layout.Bounds
-		a.settings.Link = cmp.Or(s.layout.Link, 1000)
+		a.settings.Link = cmp.Or(s.layout.LinkMbps, 1000)
 		s.agents = append(s.agents, a)
 		if err := a.Start(); err != nil {
 			return err
@@ -214,8 +214,8 @@
 	return append([]standin.Run(nil), s.runs...)
 }
 
-// Ask makes a caller's request at the box.
-func (s *System) Ask(ctx context.Context, e *EntryBox, q standin.Request) standin.Reply {
+// SendRequest makes a caller's request at the box.
+func (s *System) SendRequest(ctx context.Context, e *EntryBox, q standin.Request) standin.Reply {
 	return standin.Ask(ctx, s.client, "http://"+e.settings.Callers, q)
 }
 
