--- a/cmd/clovertrail-demo/main.go
+++ b/cmd/clovertrail-demo/main.go
@@ -86,5 +86,5 @@
 		return err
 	}
 	result.Print(os.Stdout)
-	return result.Broken()
+	return result.Violation()
 }
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Broken(); err != nil {
+	if err := r.Violation(); err != nil {
 		t.Error(err)
 	}
 	r.Print(&out)
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -60,9 +60,9 @@
 		return
 	}
 	tell("fault: " + kind.text)
-	kind.begin(s, f.Pick)
+	kind.begin(s, f.Index)
 	waitUntil(ctx, began.Add((f.At + f.For).Duration()))
-	kind.end(s, f.Pick)
+	kind.end(s, f.Index)
 	tell("mended: " + kind.text)
 }
 
--- a/demo/play.go
+++ b/demo/play.go
@@ -51,7 +51,7 @@
 		Name: "g0", Ranks: w.Ranks, Layers: layers, Experts: experts, Places: max(places, experts/w.Ranks+1), Staging: staging,
 		Step: stepTime, Copy: copyTime, Share: workOfExperts,
 		Demand: func(at time.Time, layer, expert int) float64 {
-			jumps := int(at.UnixNano() / int64(w.Jump.Duration()))
+			jumps := int(at.UnixNano() / int64(w.DemandShiftInterval.Duration()))
 			place := order[layer][(expert+jumps%experts*7+experts*7)%experts]
 			return math.Pow(float64(place+1), -skewOfDemand) / total
 		},
@@ -148,7 +148,7 @@
 	}
 	rate := w.Rate
 	if third := int(now.Sub(began).Seconds() * thirds / float64(w.Seconds)); third == 1 {
-		rate *= w.Peak
+		rate *= w.PeakFactor
 	}
 	return now.Add(time.Duration(rnd.ExpFloat64() / rate * float64(time.Second)))
 }
--- a/demo/result.go
+++ b/demo/result.go
@@ -87,9 +87,9 @@
 	return rebalance.Planner{Shape: shape}.Plan(dealt, load).SkewBefore, rebalance.SkewLowerBound(shape, load)
 }
 
-// Broken is what must never be: a step on two maps, or an answer that was not the
+// Violation is what must never be: a step on two maps, or an answer that was not the
 // request's own.
-func (r *Result) Broken() error {
+func (r *Result) Violation() error {
 	if r.figures.Broken != "" {
 		return fmt.Errorf("a step was begun on two maps: %s", r.figures.Broken)
 	}
--- a/demo/workload.go
+++ b/demo/workload.go
@@ -23,15 +23,15 @@
 	Seconds int `json:"seconds"`
 	// Rate is the mean number of requests a second, and Peak how many times as many come
 	// in the middle third.
-	Rate float64 `json:"rate"`
-	Peak float64 `json:"peak"`
+	Rate       float64 `json:"rate"`
+	PeakFactor float64 `json:"peak"`
 	// Mix is the share of requests of each kind.
 	Mix map[string]float64 `json:"mix"`
 	// Halls, Entries, Targets and Ranks are how many there are: data halls, entry boxes,
 	// targets that stand alone, and ranks of the group.
 	Halls, Entries, Targets, Ranks int
-	// Jump is the time between two shifts of demand to other experts.
-	Jump Seconds `json:"jump_seconds"`
+	// DemandShiftInterval is the time between two shifts of demand to other experts.
+	DemandShiftInterval Seconds `json:"jump_seconds"`
 	// Faults are what goes wrong.
 	Faults []Fault `json:"faults"`
 }
@@ -44,18 +44,18 @@
 
 // Fault is something that goes wrong at a time from the start, for so long.
 type Fault struct {
-	Kind string  `json:"kind"`
-	At   Seconds `json:"at_seconds"`
-	For  Seconds `json:"for_seconds"`
-	Pick int     `json:"pick"` // which box, rank or hall
+	Kind  string  `json:"kind"`
+	At    Seconds `json:"at_seconds"`
+	For   Seconds `json:"for_seconds"`
+	Index int     `json:"pick"` // which box, rank or hall
 }
 
 // DefaultWorkload is what the demonstration plays where no file is named: a peak, and one
 // fault of each kind, spread over the run.
 func DefaultWorkload() Workload {
 	w := Workload{
-		Seconds: 20, Rate: 40, Peak: 2, Mix: map[string]float64{"once": 1, "again": 1, "stream": 1, "group": 5},
-		Halls: 3, Entries: 6, Targets: 3, Ranks: 8, Jump: 5,
+		Seconds: 20, Rate: 40, PeakFactor: 2, Mix: map[string]float64{"once": 1, "again": 1, "stream": 1, "group": 5},
+		Halls: 3, Entries: 6, Targets: 3, Ranks: 8, DemandShiftInterval: 5,
 	}
 	w.Faults = w.spread(slices.Sorted(maps.Keys(faults)))
 	return w
@@ -66,7 +66,7 @@
 	var list []Fault
 	each := float64(w.Seconds) / float64(len(kinds)+1)
 	for i, k := range kinds {
-		list = append(list, Fault{Kind: k, At: Seconds(each * (float64(i) + 0.5)), For: Seconds(each * 0.7), Pick: i})
+		list = append(list, Fault{Kind: k, At: Seconds(each * (float64(i) + 0.5)), For: Seconds(each * 0.7), Index: i})
 	}
 	return list
 }
@@ -107,7 +107,7 @@
 			return fmt.Errorf("%s: %d is not at least 1", x.name, x.n)
 		}
 	}
-	if w.Rate <= 0 || w.Peak <= 0 || w.Jump <= 0 {
+	if w.Rate <= 0 || w.PeakFactor <= 0 || w.DemandShiftInterval <= 0 {
 		return fmt.Errorf("rate, peak and jump_seconds must be above 0")
 	}
 	for kind, share := range w.Mix {
