--- a/local/boxes.go
+++ b/local/boxes.go
@@ -15,33 +15,35 @@
 	"clovertrail.dev/platform/standin"
 )
 
-// life is a process of node that can be started, stopped and killed, from any goroutine.
+// managedProcess is a process of package node that can be started, stopped and killed, from
+// any goroutine.
 //
-// Lock order: mu is taken before the network's.
-type life struct {
-	mu    sync.Mutex
-	host  *Host
-	leave chan struct{} // nil while it does not run
-	done  chan struct{}
-	lives int
-}
-
-// begin runs the process until it is stopped, unless it runs already.
-func (p *life) begin(s *System, h *Host, run func(leave <-chan struct{}) error) {
+// Lock order: mu is locked before Network.mu.
+type managedProcess struct {
+	mu     sync.Mutex
+	host   *Host
+	stop   chan struct{} // closed to stop the process; nil while it does not run
+	done   chan struct{} // closed when the process has ended
+	starts int
+}
+
+// start runs the process on the host until it is stopped. It does nothing if the process
+// runs already.
+func (p *managedProcess) start(s *System, h *Host, run func(stop <-chan struct{}) error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.leave != nil {
+	if p.stop != nil {
 		return
 	}
-	p.host, p.leave, p.done = h, make(chan struct{}), make(chan struct{})
-	p.lives++
-	leave, done := p.leave, p.done
+	p.host, p.stop, p.done = h, make(chan struct{}), make(chan struct{})
+	p.starts++
+	stop, done := p.stop, p.done
 	s.processes.Go(func() {
 		defer close(done)
-		if err := run(leave); err != nil && !h.isDead() {
-			s.ended(err)
+		if err := run(stop); err != nil && !h.isDead() {
+			s.recordFailure(err)
 		}
-		h.Kill() // a process that has ended leaves no socket behind
+		h.Kill() // close the sockets that the ended process left open
 	})
 }
 
@@ -51,78 +53,78 @@
 	return h.dead
 }
 
-// Running reports whether the process was started and neither stopped nor killed.
-func (p *life) Running() bool {
+// Running reports whether the process was started and has been neither stopped nor killed since.
+func (p *managedProcess) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.leave != nil
+	return p.stop != nil
 }
 
-// Starts is how often the process was started.
-func (p *life) Starts() int {
+// Starts returns how many times the process was started.
+func (p *managedProcess) Starts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lives
+	return p.starts
 }
 
-// Stop is a planned stop; it returns once the process has ended.
-func (p *life) Stop() {
+// Stop makes a planned stop and returns once the process has ended.
+func (p *managedProcess) Stop() {
 	p.mu.Lock()
-	leave, done := p.leave, p.done
-	p.leave = nil
+	stop, done := p.stop, p.done
+	p.stop = nil
 	p.mu.Unlock()
-	if leave == nil {
+	if stop == nil {
 		return
 	}
-	close(leave)
+	close(stop)
 	<-done
 }
 
-// Kill ends the process without notifying anybody.
-func (p *life) Kill() {
+// Kill cuts the process from the network and ends it without a planned stop.
+func (p *managedProcess) Kill() {
 	p.mu.Lock()
-	leave, host := p.leave, p.host
-	p.leave = nil
+	stop, host := p.stop, p.host
+	p.stop = nil
 	p.mu.Unlock()
-	if leave == nil {
+	if stop == nil {
 		return
 	}
 	host.Kill()
-	close(leave) // what is left of it ends by itself, heard by nobody
+	close(stop) // its goroutines end by themselves, without the network
 }
 
-// EntryBox is an entry box.
+// EntryBox is an entry box of a System, which can be stopped, killed and started again.
 type EntryBox struct {
-	life
+	managedProcess
 	system   *System
 	ip       string
 	settings process.EntrySettings
 }
 
-// Start starts the process.
+// Start starts the entry process, unless it runs already.
 func (e *EntryBox) Start() error {
 	h := e.system.Network.NewHost(domain.HallName(e.settings.Hall))
 	settings := e.settings
-	e.begin(e.system, h, node.NewEntry(e.system.common(settings.Box), h, func() process.EntrySettings { return settings }).Run)
+	e.start(e.system, h, node.NewEntry(e.system.telemetryFor(settings.Box), h, func() process.EntrySettings { return settings }).Run)
 	return nil
 }
 
-// Name is the name of the box.
+// Name returns the name of the box.
 func (e *EntryBox) Name() string { return e.settings.Box }
 
-// StartID names the present start of its process.
+// StartID returns a name for the current start of the process, which differs after each start.
 func (e *EntryBox) StartID() string { return fmt.Sprintf("%s, start %d", e.settings.Box, e.Starts()) }
 
-// Hall is its data hall.
+// Hall returns the data hall of the box.
 func (e *EntryBox) Hall() domain.HallName { return domain.HallName(e.settings.Hall) }
 
-// URL is where callers reach it.
+// URL returns the base URL for callers.
 func (e *EntryBox) URL() string { return "http://" + e.settings.Callers }
 
-// MetricsURL is where its counters are read.
+// MetricsURL returns the URL of the box's metrics.
 func (e *EntryBox) MetricsURL() string { return "http://" + e.settings.Metrics + "/metrics" }
 
-// Ready reports whether it reports that it takes callers.
+// Ready reports whether the readiness endpoint of the box answers with status 200.
 func (e *EntryBox) Ready(ctx context.Context) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.settings.Ready+"/", nil)
 	if err != nil {
@@ -132,26 +134,27 @@
 	if err != nil {
 		return false
 	}
-	_ = resp.Body.Close() // the status says all
+	_ = resp.Body.Close() // only the status is used
 	return resp.StatusCode == http.StatusOK
 }
 
-// AgentBox is the box of a rank; the rank itself goes on whatever becomes of its agent.
+// AgentBox is the box of a rank, with its agent. The rank keeps running when the agent is stopped
+// or killed.
 type AgentBox struct {
-	life
+	managedProcess
 	system   *System
 	settings process.AgentSettings
 }
 
-// Start starts the agent.
+// Start starts the agent, unless it runs already.
 func (a *AgentBox) Start() error {
 	h := a.system.Network.NewHost(domain.HallName(a.settings.Hall))
 	settings := a.settings
-	a.begin(a.system, h, rank.NewAgent(a.system.common(settings.Box), h, func() process.AgentSettings { return settings }).Run)
+	a.start(a.system, h, rank.NewAgent(a.system.telemetryFor(settings.Box), h, func() process.AgentSettings { return settings }).Run)
 	return nil
 }
 
-// TargetBox is the box of a target that stands alone.
+// TargetBox is the box of a target that belongs to no group.
 type TargetBox struct {
 	system  *System
 	id      string
@@ -161,44 +164,44 @@
 	host    *Host
 }
 
-// ID is the instance of the target.
+// ID returns the instance ID of the target.
 func (t *TargetBox) ID() string { return t.id }
 
-// Target is the target.
+// Target returns the stand-in that serves the requests.
 func (t *TargetBox) Target() *standin.Target { return t.target }
 
 func (t *TargetBox) start() error {
 	t.host = t.system.Network.NewHost(t.hall)
-	t.address = fmt.Sprintf("%s:%d", t.system.Network.ip(), enginePort)
-	t.target = standin.NewTarget(t.id, PlainService, t.system.ran)
+	t.address = fmt.Sprintf("%s:%d", t.system.Network.allocateIP(), enginePort)
+	t.target = standin.NewTarget(t.id, PlainService, t.system.recordRun)
 	t.target.Bear(time.Now())
 	t.target.OnCrash(t.crash)
 	if err := t.system.serve(t.host, t.address, t.target); err != nil {
 		return err
 	}
-	return t.list("ready")
+	return t.putEntry("ready")
 }
 
-// list writes the target's entry in the store.
-func (t *TargetBox) list(state string) error {
+// putEntry writes the target's entry, with the state, to the store.
+func (t *TargetBox) putEntry(state string) error {
 	_, err := t.system.Store.Put("servers", t.id, t.target.Object(t.address, string(t.hall), state))
 	return err
 }
 
-// MarkLeaving writes to the store that the target is leaving; it goes on serving.
-func (t *TargetBox) MarkLeaving() error { return t.list("draining") }
+// MarkLeaving writes to the store that the target is leaving; it continues to serve.
+func (t *TargetBox) MarkLeaving() error { return t.putEntry("draining") }
 
-// Relist writes the target's entry anew, as ready.
-func (t *TargetBox) Relist() error { return t.list("ready") }
+// Relist writes the target's entry to the store again, as ready.
+func (t *TargetBox) Relist() error { return t.putEntry("ready") }
 
-// Unlist takes the target's entry away without notice; it goes on serving.
+// Unlist removes the target's entry from the store without notice; the target continues to serve.
 func (t *TargetBox) Unlist() { t.system.Store.Remove("servers", t.id) }
 
-// Kill cuts the target from the network, with its entry left behind.
+// Kill cuts the target from the network; its entry stays in the store.
 func (t *TargetBox) Kill() { t.host.Kill() }
 
-// Restart kills the target and starts it anew under its id, at another address. It
-// remembers nothing, and works as its program did before.
+// Restart kills the target and starts it again under the same ID at another address. It keeps
+// its behaviour but no other state.
 func (t *TargetBox) Restart() error {
 	t.Kill()
 	habits := t.target.Habits()
@@ -209,20 +212,20 @@
 	return nil
 }
 
-// backAfter is how long a target that crashed is away.
-const backAfter = 3 * time.Second
+// restartDelay is the time from the crash of a target to its restart.
+const restartDelay = 3 * time.Second
 
-// crash ends the target's process as a request may, and starts it again later.
+// crash ends the target's process, as a fatal request does, and starts it again after restartDelay.
 func (t *TargetBox) crash() {
 	t.Kill()
 	t.system.processes.Go(func() {
-		back := time.NewTimer(backAfter)
-		defer back.Stop()
+		wait := time.NewTimer(restartDelay)
+		defer wait.Stop()
 		select {
 		case <-t.system.closing:
-		case <-back.C:
+		case <-wait.C:
 			if err := t.Restart(); err != nil {
-				t.system.ended(err)
+				t.system.recordFailure(err)
 			}
 		}
 	})
--- a/local/conn.go
+++ b/local/conn.go
@@ -6,45 +6,46 @@
 	"time"
 )
 
-// conn is a connection over a link that can fall silent.
+// conn is a connection whose traffic follows the state of the link between two halls.
 type conn struct {
 	net.Conn
 	from, to *Host
 
-	writing sync.Mutex // guards pending and the order of writes; taken before mu
-	pending []byte
+	writeMu sync.Mutex // guards pending and the order of writes; locked before mu
+	pending []byte     // written while the link was silent
 
-	mu     sync.Mutex
-	change *sync.Cond
-	link   Link
-	closed bool
-	done   chan struct{} // closed with the connection
+	mu      sync.Mutex
+	changed *sync.Cond
+	link    Link
+	closed  bool
+	done    chan struct{} // closed with the connection
 }
 
 func newConn(raw net.Conn, from, to *Host, l Link) *conn {
 	c := &conn{Conn: raw, from: from, to: to, link: l, done: make(chan struct{})}
-	c.change = sync.NewCond(&c.mu)
+	c.changed = sync.NewCond(&c.mu)
 	return c
 }
 
-func (c *conn) set(l Link) {
+func (c *conn) setLink(l Link) {
 	if l == Refused {
 		_ = c.Close()
 		return
 	}
 	c.mu.Lock()
 	c.link = l
-	c.change.Broadcast()
+	c.changed.Broadcast()
 	c.mu.Unlock()
-	go c.reopened()
+	go c.flushPending()
 }
 
-// pass waits while the link is silent.
-func (c *conn) pass() error {
+// waitWhileSilent blocks until the link is no longer silent; it fails once the connection
+// is closed.
+func (c *conn) waitWhileSilent() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for c.link == Silent && !c.closed {
-		c.change.Wait()
+		c.changed.Wait()
 	}
 	if c.closed {
 		return net.ErrClosed
@@ -52,15 +53,15 @@
 	return nil
 }
 
-// delay waits a while if the link is slow.
-func (c *conn) delay() {
+// delayWhileSlow waits for slowDelay if the link is slow, or until the connection is closed.
+func (c *conn) delayWhileSlow() {
 	c.mu.Lock()
 	slow := c.link == Slow && !c.closed
 	c.mu.Unlock()
 	if !slow {
 		return
 	}
-	t := time.NewTimer(slowness)
+	t := time.NewTimer(slowDelay)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -74,15 +75,15 @@
 	if err != nil {
 		return n, err
 	}
-	c.delay()
-	return n, c.pass()
+	c.delayWhileSlow()
+	return n, c.waitWhileSilent()
 }
 
-// Write implements net.Conn. What is written while the link is silent stays in the
-// sender's buffers, as with TCP, and passes when the link opens.
+// Write implements net.Conn. Bytes written while the link is silent stay in the sender's
+// buffer, as with TCP, and are sent when the link opens.
 func (c *conn) Write(b []byte) (int, error) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	silent, err := c.state()
 	if err != nil {
 		return 0, err
@@ -106,23 +107,23 @@
 	return c.link == Silent, nil
 }
 
-// flush passes what was held back; writing is held.
+// flush sends the pending bytes. The caller holds writeMu.
 func (c *conn) flush() error {
 	if len(c.pending) == 0 {
 		return nil
 	}
-	held := c.pending
+	buffered := c.pending
 	c.pending = nil
-	_, err := c.Conn.Write(held)
+	_, err := c.Conn.Write(buffered)
 	return err
 }
 
-// reopened passes what was held back once the link is no longer silent.
-func (c *conn) reopened() {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+// flushPending sends the pending bytes if the link is no longer silent.
+func (c *conn) flushPending() {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	if silent, err := c.state(); err == nil && !silent {
-		_ = c.flush() // a failure shows at the next call
+		_ = c.flush() // the next call on the connection returns the error
 	}
 }
 
@@ -131,12 +132,12 @@
 	c.mu.Lock()
 	already := c.closed
 	c.closed = true
-	c.change.Broadcast()
+	c.changed.Broadcast()
 	c.mu.Unlock()
 	if already {
 		return nil
 	}
 	close(c.done)
-	go c.from.network.drop(c)
+	go c.from.network.forget(c)
 	return c.Conn.Close()
 }
--- a/local/doc.go
+++ b/local/doc.go
@@ -1,11 +1,12 @@
-// Package local runs the whole system in one process: entry boxes and agents as
-// package node makes them, with stand-ins for the platform's store, targets and a group
-// of ranks (platform/standin), joined by a network that can be cut, slowed and silenced.
+// Package local runs the whole system in one process: the entry boxes and agents of
+// package node, and stand-ins for the platform's store, targets and a group of ranks
+// (platform/standin). They are connected by a network whose links can refuse connections,
+// delay traffic or hold it back.
 //
-// The network is either loopback TCP, for the demonstration, or memory, so that tests
+// The network uses either loopback TCP, for the demonstration, or memory, so that tests
 // run the system in the fake time of testing/synctest. A process that is killed is cut
-// from the network for good: nothing of it is received any more, and what it still does reaches
-// nobody.
+// from the network for good: other processes receive nothing from it any more, whatever its
+// goroutines still do.
 //
 // # Usage
 //
--- a/local/network.go
+++ b/local/network.go
@@ -14,33 +14,34 @@
 	"clovertrail.dev/core/domain"
 )
 
-// Link is what a pair of data halls can do to each other's traffic.
+// Link is the state of the link between two data halls.
 type Link int
 
 // The states of a link.
 const (
-	// Open passes everything.
+	// Open delivers all traffic without delay.
 	Open Link = iota
 	// Refused closes connections and refuses new ones.
 	Refused
-	// Silent holds everything back until the link is open again.
+	// Silent holds all traffic back until the link is open again, and lets new connections
+	// time out.
 	Silent
-	// Slow holds every piece back for a while.
+	// Slow delays every read by slowDelay.
 	Slow
 )
 
 const (
-	// slowness is how long a Slow link holds a piece back.
-	slowness = 100 * time.Millisecond
-	// connectFor is how long a connection over a Silent link is tried, as node's are.
-	connectFor = 300 * time.Millisecond
-	// pipeBytes is what a connection in memory takes before its writer waits.
-	pipeBytes = 64 << 10
+	// slowDelay is how long a Slow link delays each read.
+	slowDelay = 100 * time.Millisecond
+	// dialTimeout limits a dial over a Silent link; package node uses the same limit.
+	dialTimeout = 300 * time.Millisecond
+	// pipeBufferBytes is the buffer of a connection in memory; its writer blocks while it is full.
+	pipeBufferBytes = 64 << 10
 )
 
 // Network connects the processes of a System.
 //
-// Lock order: Network.mu, then conn.mu.
+// Lock order: Network.mu is locked before conn.mu.
 type Network struct {
 	memory bool
 
@@ -48,45 +49,45 @@
 	listeners map[string]*listener
 	links     map[[2]domain.HallName]Link
 	conns     map[*conn]bool
-	addresses int
+	allocated int
 }
 
-// listener is one of a host.
+// listener is a listening socket of a host.
 type listener struct {
 	net.Listener
 	host *Host
 	dial func(context.Context) (net.Conn, error)
 }
 
-// NewNetwork returns a network; memory keeps it off the machine's sockets.
+// NewNetwork returns a network. With memory it opens no sockets of the machine.
 func NewNetwork(memory bool) *Network {
 	return &Network{
 		memory: memory, listeners: map[string]*listener{}, links: map[[2]domain.HallName]Link{}, conns: map[*conn]bool{},
 	}
 }
 
-// ip gives an address that no other host of the network has. On loopback it is of this
-// process alone.
-func (n *Network) ip() string {
+// allocateIP returns an address that no other host of the network has. On loopback the address
+// is derived from the process ID, so that systems in other processes do not use it.
+func (n *Network) allocateIP() string {
 	const octet = 250
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.addresses++
+	n.allocated++
 	if n.memory {
-		return fmt.Sprintf("10.0.%d.%d", n.addresses/octet, 1+n.addresses%octet)
+		return fmt.Sprintf("10.0.%d.%d", n.allocated/octet, 1+n.allocated%octet)
 	}
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 1+pid/octet%octet, 1+pid%octet, 1+n.addresses)
+	return fmt.Sprintf("127.%d.%d.%d", 1+pid/octet%octet, 1+pid%octet, 1+n.allocated)
 }
 
-// Host is a process's end of the network. It implements node.Network.
+// Host connects one process to the network. It implements node.Network.
 type Host struct {
 	network *Network
 	hall    domain.HallName
 	dead    bool // guarded by network.mu
 }
 
-// NewHost returns the end of a process in the data hall.
+// NewHost returns a host for a process in the data hall.
 func (n *Network) NewHost(hall domain.HallName) *Host { return &Host{network: n, hall: hall} }
 
 // Listen implements node.Network.
@@ -94,7 +95,7 @@
 	n := h.network
 	l := &listener{host: h}
 	if n.memory {
-		b := bufconn.Listen(pipeBytes)
+		b := bufconn.Listen(pipeBufferBytes)
 		l.Listener, l.dial = b, b.DialContext
 	} else {
 		real, err := net.Listen("tcp", address)
@@ -113,48 +114,49 @@
 
 // Dial implements node.Network.
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
-	l, link, err := h.way(address)
+	l, link, err := h.lookup(address)
 	if err != nil {
 		return nil, err
 	}
 	if link == Silent {
-		return nil, h.hang(ctx, address)
+		return nil, h.waitForTimeout(ctx, address)
 	}
 	raw, err := l.dial(ctx)
 	if err != nil {
-		return nil, refused(address)
+		return nil, connectionRefused(address)
 	}
 	n := h.network
 	c := newConn(raw, h, l.host, link)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if h.dead || l.host.dead {
-		_ = raw.Close() // it was killed in the meantime
-		return nil, refused(address)
+		_ = raw.Close() // one of the processes was killed during the dial
+		return nil, connectionRefused(address)
 	}
 	n.conns[c] = true
 	return c, nil
 }
 
-// way finds who listens at the address and the link there.
-func (h *Host) way(address string) (*listener, Link, error) {
+// lookup returns the listener at the address and the state of the link to its hall.
+func (h *Host) lookup(address string) (*listener, Link, error) {
 	n := h.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.listeners[address]
 	if l == nil || h.dead || l.host.dead {
-		return nil, Refused, refused(address)
+		return nil, Refused, connectionRefused(address)
 	}
 	link := n.links[pairOf(h.hall, l.host.hall)]
 	if link == Refused {
-		return nil, link, refused(address)
+		return nil, link, connectionRefused(address)
 	}
 	return l, link, nil
 }
 
-// hang waits as for a host that reports nothing.
-func (h *Host) hang(ctx context.Context, address string) error {
-	wait := time.NewTimer(connectFor)
+// waitForTimeout fails as a dial to a host that does not respond: after dialTimeout, or when ctx
+// ends.
+func (h *Host) waitForTimeout(ctx context.Context, address string) error {
+	wait := time.NewTimer(dialTimeout)
 	defer wait.Stop()
 	select {
 	case <-ctx.Done():
@@ -163,34 +165,34 @@
 	return &net.OpError{Op: "dial", Net: "tcp", Err: fmt.Errorf("%s: %w", address, os.ErrDeadlineExceeded)}
 }
 
-func refused(address string) error {
+func connectionRefused(address string) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: fmt.Errorf("%s: %w", address, syscall.ECONNREFUSED)}
 }
 
-// Kill cuts the host from the network for good.
+// Kill closes the listeners and connections of the host and cuts it from the network for good.
 func (h *Host) Kill() {
 	n := h.network
 	n.mu.Lock()
 	h.dead = true
-	var ends []interface{ Close() error }
+	var closers []interface{ Close() error }
 	for address, l := range n.listeners {
 		if l.host == h {
 			delete(n.listeners, address)
-			ends = append(ends, l)
+			closers = append(closers, l)
 		}
 	}
 	for c := range n.conns {
 		if c.from == h || c.to == h {
-			ends = append(ends, c)
+			closers = append(closers, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, e := range ends {
-		_ = e.Close() // it may be closed already
+	for _, c := range closers {
+		_ = c.Close() // it may be closed already
 	}
 }
 
-func (n *Network) drop(c *conn) {
+func (n *Network) forget(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, c)
@@ -216,11 +218,11 @@
 	}
 	n.mu.Unlock()
 	for _, c := range affected {
-		c.set(l)
+		c.setLink(l)
 	}
 }
 
-// openAll opens every link, so that nothing hangs on one.
+// openAll opens every link, so that no process waits on one while the system closes.
 func (n *Network) openAll() {
 	n.mu.Lock()
 	pairs := make([][2]domain.HallName, 0, len(n.links))
@@ -233,7 +235,7 @@
 	}
 }
 
-// closeAll closes what is still open.
+// closeAll kills every host that has a listener, or has dialled a connection.
 func (n *Network) closeAll() {
 	n.mu.Lock()
 	hosts := map[*Host]bool{}
--- a/local/system.go
+++ b/local/system.go
@@ -16,68 +16,67 @@
 	"clovertrail.dev/telemetry"
 )
 
-// Names in a System.
+// Names of services and halls in a System.
 const (
-	// PlainService is the service of the targets that stand alone, GroupService that of
-	// the group of ranks.
+	// PlainService is the service of the targets that belong to no group, GroupService the
+	// service of the group of ranks.
 	PlainService = "app"
 	GroupService = "model"
-	// StoreHall is where the platform's store stands.
+	// StoreHall is the data hall of the platform's store.
 	StoreHall domain.HallName = "platform"
 )
 
-// Ports of the processes, each on an address of its own.
+// Ports of the processes. Each process has its own address.
 const (
 	callersPort, readyPort, peersPort, meetingPort, metricsPort = 8080, 8081, 7340, 8089, 9464
 	enginePort, agentPort                                       = 8000, 7355
 )
 
-// Layout is what a System is made of.
+// Layout describes the parts of a System.
 type Layout struct {
 	Halls   []domain.HallName
-	Entries int // entry boxes, dealt out over the halls
-	Targets int // that stand alone, dealt out over the halls
-	// Group is the group of ranks, dealt out over the halls; nil for none.
+	Entries int // number of entry boxes, distributed over the halls in turn
+	Targets int // number of targets outside the group, distributed over the halls in turn
+	// Group is the group of ranks, distributed over the halls in turn; nil for none.
 	Group *standin.GroupShape
-	// LinkMbps is what the boxes of ranks are configured with as the rate of their links, in Mbit/s; 0 for
-	// plenty.
+	// LinkMbps is the configured link rate of the ranks' boxes, in Mbit/s; 0 means 1000.
 	LinkMbps float64
-	// Keys are by organisation.
+	// Keys holds the API key of each organisation.
 	Keys   map[string]string
 	Bounds process.Bounds
-	// Memory keeps the system off the machine's sockets.
+	// Memory runs the network in memory, without sockets of the machine.
 	Memory bool
-	// Log takes the lines of all processes; nil for none.
+	// Log receives the log lines of all processes; nil for none.
 	Log io.Writer
 }
 
-// System is a system that runs. Its methods may be called from any goroutine.
+// System is a running system. Its methods may be called from any goroutine.
 //
 // Lock order: mu is the only lock.
 type System struct {
 	Network *Network
 	Store   *standin.Store
 
-	layout    Layout
-	storeAt   string
-	metrics   *telemetry.Metrics
-	callers   *Host
-	client    *http.Client
-	entries   []*EntryBox
-	targets   []*TargetBox
-	agents    []*AgentBox
-	group     *standin.Group
-	cancel    context.CancelFunc
-	closing   <-chan struct{} // closed as the system ends
-	processes sync.WaitGroup
+	layout       Layout
+	storeAddress string
+	metrics      *telemetry.Metrics
+	callers      *Host
+	client       *http.Client
+	entries      []*EntryBox
+	targets      []*TargetBox
+	agents       []*AgentBox
+	group        *standin.Group
+	cancel       context.CancelFunc
+	closing      <-chan struct{} // closed when the system ends
+	processes    sync.WaitGroup
 
-	mu      sync.Mutex
-	runs    []standin.Run
-	version int
-	failed  []error
+	mu       sync.Mutex
+	runs     []standin.Run
+	version  int
+	failures []error
 }
 
-// Start starts a system and configures it.
+// Start starts a system and writes its first configuration to the store.
 func Start(l Layout) (*System, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &System{
@@ -88,12 +87,12 @@
 	s.client = &http.Client{Transport: &http.Transport{
 		DialContext: s.dialCallers, DisableCompression: true, MaxIdleConnsPerHost: 16,
 	}}
-	s.storeAt = s.Network.ip() + ":80"
-	if err := s.serve(s.Network.NewHost(StoreHall), s.storeAt, s.Store); err != nil {
+	s.storeAddress = s.Network.allocateIP() + ":80"
+	if err := s.serve(s.Network.NewHost(StoreHall), s.storeAddress, s.Store); err != nil {
 		return nil, err
 	}
 	for i := range l.Targets {
-		t := &TargetBox{system: s, id: fmt.Sprintf("t-%d", i), hall: s.hall(i)}
+		t := &TargetBox{system: s, id: fmt.Sprintf("t-%d", i), hall: s.hallOf(i)}
 		s.targets = append(s.targets, t)
 		if err := t.start(); err != nil {
 			return nil, err
@@ -108,7 +107,7 @@
 	return s, s.startEntries()
 }
 
-func (s *System) hall(i int) domain.HallName { return s.layout.Halls[i%len(s.layout.Halls)] }
+func (s *System) hallOf(i int) domain.HallName { return s.layout.Halls[i%len(s.layout.Halls)] }
 
 // serve serves the handler at the address until the host is killed.
 func (s *System) serve(h *Host, address string, handler http.Handler) error {
@@ -117,20 +116,20 @@
 		return err
 	}
 	srv := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
-	s.processes.Go(func() { _ = srv.Serve(l) }) // it ends with its listener
+	s.processes.Go(func() { _ = srv.Serve(l) }) // returns when the listener is closed
 	return nil
 }
 
 func (s *System) startEntries() error {
 	var seeds []string
 	for i := range s.layout.Entries {
-		ip := s.Network.ip()
+		ip := s.Network.allocateIP()
 		e := &EntryBox{system: s, ip: ip, settings: process.DefaultEntrySettings()}
 		at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
-		e.settings.Box, e.settings.Hall = fmt.Sprintf("entry-%d", i), string(s.hall(i))
+		e.settings.Box, e.settings.Hall = fmt.Sprintf("entry-%d", i), string(s.hallOf(i))
 		e.settings.Callers, e.settings.Ready, e.settings.Peers = at(callersPort), at(readyPort), at(peersPort)
 		e.settings.Meeting, e.settings.Metrics = at(meetingPort), at(metricsPort)
-		e.settings.Store, e.settings.AgentPort, e.settings.Bounds = s.storeAt, agentPort, s.layout.Bounds
+		e.settings.Store, e.settings.AgentPort, e.settings.Bounds = s.storeAddress, agentPort, s.layout.Bounds
 		s.entries = append(s.entries, e)
 		seeds = append(seeds, e.settings.Meeting)
 	}
@@ -143,14 +142,14 @@
 	return nil
 }
 
-// startGroup starts the ranks, each with an agent beside it.
+// startGroup starts the ranks of the group, each with its agent.
 func (s *System) startGroup(ctx context.Context) error {
 	if s.layout.Group == nil {
 		return nil
 	}
-	s.group = standin.NewGroup(*s.layout.Group, GroupService, s.ran)
+	s.group = standin.NewGroup(*s.layout.Group, GroupService, s.recordRun)
 	for r := range s.layout.Group.Ranks {
-		ip, hall := s.Network.ip(), s.hall(r)
+		ip, hall := s.Network.allocateIP(), s.hallOf(r)
 		engine := fmt.Sprintf("%s:%d", ip, enginePort)
 		if err := s.serve(s.Network.NewHost(hall), engine, s.group.Handler(r)); err != nil {
 			return err
@@ -171,23 +170,23 @@
 	return nil
 }
 
-// Entries are the entry boxes.
+// Entries returns the entry boxes.
 func (s *System) Entries() []*EntryBox { return s.entries }
 
-// Targets are the targets that stand alone.
+// Targets returns the targets that belong to no group.
 func (s *System) Targets() []*TargetBox { return s.targets }
 
-// Agents are those beside the ranks, in order of these.
+// Agents returns the agents of the ranks, in the order of the ranks.
 func (s *System) Agents() []*AgentBox { return s.agents }
 
-// Group is the group of ranks; nil if there is none.
+// Group returns the group of ranks; nil if there is none.
 func (s *System) Group() *standin.Group { return s.group }
 
-// Halls are the data halls.
+// Halls returns the data halls of the layout.
 func (s *System) Halls() []domain.HallName { return s.layout.Halls }
 
-// Configure writes the next configuration, which has a route of its own, and returns
-// its version.
+// Configure writes the next version of the configuration to the store and returns the version.
+// Each version adds one route (standin.VersionPath).
 func (s *System) Configure() (int, error) {
 	s.mu.Lock()
 	s.version++
@@ -201,26 +200,26 @@
 	return version, err
 }
 
-func (s *System) ran(r standin.Run) {
+func (s *System) recordRun(r standin.Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs = append(s.runs, r)
 }
 
-// Runs is what targets have run so far.
+// Runs returns all requests that targets have begun to run so far.
 func (s *System) Runs() []standin.Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]standin.Run(nil), s.runs...)
 }
 
-// SendRequest makes a caller's request at the box.
+// SendRequest sends a caller's request to the box and returns the reply.
 func (s *System) SendRequest(ctx context.Context, e *EntryBox, q standin.Request) standin.Reply {
 	return standin.Ask(ctx, s.client, "http://"+e.settings.Callers, q)
 }
 
-// common is what a process logs to and counts in.
-func (s *System) common(box string) telemetry.Common {
+// telemetryFor returns the log and the metrics of a process.
+func (s *System) telemetryFor(box string) telemetry.Common {
 	if s.layout.Log == nil {
 		return telemetry.Quiet()
 	}
@@ -229,20 +228,20 @@
 	return c
 }
 
-// Metrics are the counters of all processes together, where lines are logged.
+// Metrics returns the metrics that all processes share. They count only if Layout.Log is set.
 func (s *System) Metrics() *telemetry.Metrics { return s.metrics }
 
-// ended notes how a process ended.
-func (s *System) ended(err error) {
+// recordFailure notes how a process recordFailure.
+func (s *System) recordFailure(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failed = append(s.failed, err)
+	s.failures = append(s.failures, err)
 }
 
-// Close stops everything. The error is of processes that ended by themselves.
+// Close stops all processes. It returns the errors of processes that ended by themselves.
 func (s *System) Close() error {
 	s.Network.openAll()
-	s.Store.SetTrouble(standin.Sound, time.Millisecond) // calls that take no time at all could go on for ever
+	s.Store.SetTrouble(standin.Sound, time.Millisecond) // calls that take no time could be repeated for ever
 	var stops sync.WaitGroup
 	for _, e := range s.entries {
 		stops.Go(e.Stop)
@@ -255,8 +254,8 @@
 	s.client.CloseIdleConnections()
 	s.Network.closeAll()
 	s.processes.Wait()
-	return errors.Join(s.failed...)
+	return errors.Join(s.failures...)
 }
 
-// StoreAddress is where the store is reached, host:port.
-func (s *System) StoreAddress() string { return s.storeAt }
+// StoreAddress returns the address of the store, host:port.
+func (s *System) StoreAddress() string { return s.storeAddress }
