--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -22,7 +22,7 @@
 func TestReadWorkload(t *testing.T) {
 	for name, tt := range map[string]struct {
 		text string
-		err  string // that the error says; empty for none
+		err  string // part of the error's text; empty for no error
 	}{
 		"comments and defaults": {`{"seconds": 3 /* short */, "faults": [{"kind": "box dies", "at_seconds": 1, "for_seconds": 1}]}`, ""},
 		"no such field":         {`{"second": 3}`, "second"},
@@ -35,7 +35,7 @@
 			w, err := demo.ReadWorkload(write(t, tt.text))
 			if tt.err != "" {
 				if !demo.ErrWorkload.Has(err) || !strings.Contains(err.Error(), tt.err) {
-					t.Errorf("error %v, want one of %q", err, tt.err)
+					t.Errorf("error %v, want a workload error that contains %q", err, tt.err)
 				}
 				return
 			}
@@ -46,7 +46,8 @@
 	}
 }
 
-func TestTheExampleWorkloadsAreRight(t *testing.T) {
+// TestExampleWorkloadsAreValid reads every workload in examples/workloads.
+func TestExampleWorkloadsAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/workloads/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
@@ -58,7 +59,7 @@
 	}
 }
 
-// TestPlay plays a short workload with two faults over loopback.
+// TestPlay runs a short workload with two faults over loopback TCP.
 func TestPlay(t *testing.T) {
 	w, err := demo.ReadWorkload(write(t, `{"seconds": 3, "rate": 20, "faults": [
 		{"kind": "box dies", "at_seconds": 0.5, "for_seconds": 1}, {"kind": "rank slow", "at_seconds": 1, "for_seconds": 1}]}`))
@@ -66,8 +67,8 @@
 		t.Fatal(err)
 	}
 	var log, out bytes.Buffer
-	told := 0
-	r, err := demo.Play(t.Context(), w, 1, &log, func(string) { told++ }, nil)
+	reports := 0
+	r, err := demo.Play(t.Context(), w, 1, &log, func(string) { reports++ }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +79,7 @@
 	if !strings.Contains(out.String(), "answered") || !strings.Contains(log.String(), "request answered") {
 		t.Errorf("printed %q, logged %d bytes", out.String(), log.Len())
 	}
-	if told == 0 {
-		t.Error("nothing was told of the faults")
+	if reports == 0 {
+		t.Error("Play reported no fault")
 	}
 }
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -8,28 +8,29 @@
 	"clovertrail.dev/platform/standin"
 )
 
-// fault is how a kind begins and ends.
-type fault struct {
-	text  string
-	begin func(*local.System, int)
-	end   func(*local.System, int)
+// faultKind starts and ends faults of one kind. The index chooses the box, rank or halls.
+type faultKind struct {
+	description string
+	start       func(*local.System, int)
+	end         func(*local.System, int)
 }
 
-// slowPace is how many times longer the work of a slow rank takes.
-const slowPace = 6
+// slowRankFactor is the factor by which the work of a slow rank takes longer.
+const slowRankFactor = 6
 
-var faults = map[string]fault{
+// faultKinds has the kinds of faults by their names in workload files.
+var faultKinds = map[string]faultKind{
 	"box dies": {"an entry box dies and starts again",
-		func(s *local.System, i int) { box(s, i).Kill() },
-		func(s *local.System, i int) { _ = box(s, i).Start() }}, // it fails only where its address is taken
+		func(s *local.System, i int) { entryBox(s, i).Kill() },
+		func(s *local.System, i int) { _ = entryBox(s, i).Start() }}, // fails only if its address is in use
 	"box stops": {"an entry box is stopped as planned and started again",
-		func(s *local.System, i int) { box(s, i).Stop() },
-		func(s *local.System, i int) { _ = box(s, i).Start() }},
+		func(s *local.System, i int) { entryBox(s, i).Stop() },
+		func(s *local.System, i int) { _ = entryBox(s, i).Start() }},
 	"halls cut": {"two data halls lose sight of each other",
-		func(s *local.System, i int) { link(s, i, local.Silent) },
-		func(s *local.System, i int) { link(s, i, local.Open) }},
+		func(s *local.System, i int) { setLink(s, i, local.Silent) },
+		func(s *local.System, i int) { setLink(s, i, local.Open) }},
 	"rank slow": {"a rank becomes slow",
-		func(s *local.System, i int) { s.Group().Slow(i%len(s.Agents()), slowPace) },
+		func(s *local.System, i int) { s.Group().Slow(i%len(s.Agents()), slowRankFactor) },
 		func(s *local.System, i int) { s.Group().Slow(i%len(s.Agents()), 1) }},
 	"agent dies": {"the agent that coordinates the group dies",
 		func(s *local.System, _ int) { s.Agents()[0].Kill() },
@@ -38,34 +39,35 @@
 		func(s *local.System, _ int) { s.Store.SetTrouble(standin.Silent, 0) },
 		func(s *local.System, _ int) { s.Store.SetTrouble(standin.Sound, 0) }},
 	"target fails": {"a target fails what it is asked",
-		func(s *local.System, i int) { failing(s, i, true) },
-		func(s *local.System, i int) { failing(s, i, false) }},
+		func(s *local.System, i int) { setFailing(s, i, true) },
+		func(s *local.System, i int) { setFailing(s, i, false) }},
 }
 
-func box(s *local.System, i int) *local.EntryBox { return s.Entries()[i%len(s.Entries())] }
+func entryBox(s *local.System, i int) *local.EntryBox { return s.Entries()[i%len(s.Entries())] }
 
-func link(s *local.System, i int, l local.Link) {
+func setLink(s *local.System, i int, l local.Link) {
 	h := s.Halls()
 	s.Network.SetLink(h[i%len(h)], h[(i+1)%len(h)], l)
 }
 
-func failing(s *local.System, i int, fails bool) {
+func setFailing(s *local.System, i int, fails bool) {
 	s.Targets()[i%len(s.Targets())].Target().Behave(func(h *standin.Habits) { h.Fail = fails })
 }
 
-// happen lets a fault begin and end at its times.
-func (f Fault) happen(ctx context.Context, s *local.System, began time.Time, tell func(string)) {
-	kind := faults[f.Kind]
-	if !waitUntil(ctx, began.Add(f.At.Duration())) {
+// run starts and ends the fault at its times after start, and reports both.
+func (f Fault) run(ctx context.Context, s *local.System, start time.Time, report func(string)) {
+	kind := faultKinds[f.Kind]
+	if !waitUntil(ctx, start.Add(f.At.Duration())) {
 		return
 	}
-	tell("fault: " + kind.text)
-	kind.begin(s, f.Index)
-	waitUntil(ctx, began.Add((f.At + f.For).Duration()))
+	report("fault: " + kind.description)
+	kind.start(s, f.Index)
+	waitUntil(ctx, start.Add((f.At + f.For).Duration()))
 	kind.end(s, f.Index)
-	tell("mended: " + kind.text)
+	report("mended: " + kind.description)
 }
 
+// waitUntil reports whether the time came before ctx ended.
 func waitUntil(ctx context.Context, t time.Time) bool {
 	wait := time.NewTimer(time.Until(t))
 	defer wait.Stop()
--- a/demo/fuzz_test.go
+++ b/demo/fuzz_test.go
@@ -8,7 +8,8 @@
 	"clovertrail.dev/demo"
 )
 
-// FuzzReadWorkload reads any bytes as a workload file: it is refused, or can be played.
+// FuzzReadWorkload reads any bytes as a workload file: reading fails, or returns a workload that
+// does not last a negative time.
 func FuzzReadWorkload(f *testing.F) {
 	files, err := filepath.Glob("../examples/workloads/*")
 	if err != nil {
@@ -29,7 +30,7 @@
 		}
 		w, err := demo.ReadWorkload(file)
 		if err == nil && w.Shortened(1).Seconds < 0 {
-			t.Errorf("%q: lasts %d s", raw, w.Seconds)
+			t.Errorf("%q: workload shortened to 1 s lasts a negative time; read as %d s", raw, w.Seconds)
 		}
 	})
 }
--- a/demo/play.go
+++ b/demo/play.go
@@ -17,27 +17,29 @@
 	"clovertrail.dev/settings"
 )
 
-// key is the key of the one organisation.
-const key = "key-of-org-a"
+// apiKey is the API key of the only organisation.
+const apiKey = "key-of-org-a"
 
-// paths are by kind of request.
+// paths has the path of each kind of request.
 var paths = map[string]string{
 	"once": "/once/x", "again": "/again/x", "stream": "/stream/x", "group": standin.GroupPath + "x",
 }
 
-// within is the time that callers have.
-const within = 4 * time.Second
+// callerTimeout is how long a caller waits for the answer to a request.
+const callerTimeout = 4 * time.Second
 
-// The group of ranks: sizes of a small model.
+// Shape of the group of ranks, as for a small model. The number of slots is that of a rank in a
+// layer; stagingSlots are for copies under way.
 const (
-	layers, experts, places, staging = 4, 32, 6, 2
-	stepTime, copyTime               = 20 * time.Millisecond, 60 * time.Millisecond
-	workOfExperts                    = 0.85
-	// skewOfDemand is the exponent with which the demand for experts falls.
-	skewOfDemand = 1.0
+	layers, experts, slots, stagingSlots = 4, 32, 6, 2
+	stepTime, copyTime                   = 20 * time.Millisecond, 60 * time.Millisecond
+	expertShare                          = 0.85
+	// demandExponent is the exponent of the power law by which the demand for experts falls.
+	demandExponent = 1.0
 )
 
-// shape is that of the group, whose demand moves to other experts now and then.
+// shape returns the shape of the group. The demand moves to other experts every
+// DemandShiftInterval.
 func (w Workload) shape() standin.GroupShape {
 	var order [][]int
 	total := 0.0
@@ -45,116 +47,119 @@
 		order = append(order, rand.New(rand.NewPCG(uint64(layer), 1)).Perm(experts))
 	}
 	for e := range experts {
-		total += math.Pow(float64(e+1), -skewOfDemand)
+		total += math.Pow(float64(e+1), -demandExponent)
 	}
 	return standin.GroupShape{
-		Name: "g0", Ranks: w.Ranks, Layers: layers, Experts: experts, Places: max(places, experts/w.Ranks+1), Staging: staging,
-		Step: stepTime, Copy: copyTime, Share: workOfExperts,
+		Name: "g0", Ranks: w.Ranks, Layers: layers, Experts: experts, Places: max(slots, experts/w.Ranks+1), Staging: stagingSlots,
+		Step: stepTime, Copy: copyTime, Share: expertShare,
 		Demand: func(at time.Time, layer, expert int) float64 {
-			jumps := int(at.UnixNano() / int64(w.DemandShiftInterval.Duration()))
-			place := order[layer][(expert+jumps%experts*7+experts*7)%experts]
-			return math.Pow(float64(place+1), -skewOfDemand) / total
+			shifts := int(at.UnixNano() / int64(w.DemandShiftInterval.Duration()))
+			index := order[layer][(expert+shifts%experts*7+experts*7)%experts]
+			return math.Pow(float64(index+1), -demandExponent) / total
 		},
 	}
 }
 
-// layout is the system of the workload.
+// layout returns the layout of the workload's system.
 func (w Workload) layout(log io.Writer, s *standin.GroupShape) local.Layout {
 	l := local.Layout{
-		Entries: w.Entries, Targets: w.Targets, Group: s, Keys: map[string]string{"org-a": key}, Bounds: process.DefaultBounds(), Log: log,
+		Entries: w.Entries, Targets: w.Targets, Group: s, Keys: map[string]string{"org-a": apiKey}, Bounds: process.DefaultBounds(), Log: log,
 	}
-	l.Bounds.RetryShare, l.Bounds.RetrySlack, l.Bounds.Stop = 0.2, 90, settings.Duration(within)
+	l.Bounds.RetryShare, l.Bounds.RetrySlack, l.Bounds.Stop = 0.2, 90, settings.Duration(callerTimeout)
 	for i := range w.Halls {
 		l.Halls = append(l.Halls, domain.HallName(fmt.Sprintf("hall-%d", i+1)))
 	}
 	return l
 }
 
-// lines keeps what processes log, and passes it on.
+// logBuffer keeps the lines that processes log and forwards them to a writer.
 //
 // Lock order: mu is the only lock.
-type lines struct {
-	mu   sync.Mutex
-	kept bytes.Buffer
-	also io.Writer // nil for none
+type logBuffer struct {
+	mu      sync.Mutex
+	text    bytes.Buffer
+	forward io.Writer // nil for no forwarding
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.also != nil {
-		if _, err := l.also.Write(line); err != nil {
+	if l.forward != nil {
+		if _, err := l.forward.Write(line); err != nil {
 			return 0, err
 		}
 	}
-	return l.kept.Write(line)
+	return l.text.Write(line)
 }
 
-// end passes nothing on any more: a process that was killed may still write a line.
-func (l *lines) end() {
+// stopForwarding ends the forwarding, because a process that was killed may still write a line
+// after the run.
+func (l *logBuffer) stopForwarding() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.also = nil
+	l.forward = nil
 }
 
-// Play runs the workload; log takes the lines of all processes, report what goes wrong, and
-// stay is called before the system ends. Each may be nil.
-func Play(ctx context.Context, w Workload, seed uint64, log io.Writer, tell func(string), stay func(*local.System)) (*Result, error) {
-	if tell == nil {
-		tell = func(string) {}
+// Play runs the workload. log receives the log lines of all processes, report is called as each
+// fault starts and ends, and beforeClose is called before the system is closed. Each may be nil.
+func Play(ctx context.Context, w Workload, seed uint64, log io.Writer, report func(string), beforeClose func(*local.System)) (*Result, error) {
+	if report == nil {
+		report = func(string) {}
 	}
-	kept, shape := &lines{also: log}, w.shape()
-	defer kept.end()
-	s, err := local.Start(w.layout(kept, &shape))
+	buffer, shape := &logBuffer{forward: log}, w.shape()
+	defer buffer.stopForwarding()
+	s, err := local.Start(w.layout(buffer, &shape))
 	if err != nil {
 		return nil, err
 	}
 	r := newResult(w, shape)
-	w.load(ctx, s, seed, r, tell)
-	r.end(s, kept)
-	if stay != nil {
-		stay(s)
+	w.generateLoad(ctx, s, seed, r, report)
+	r.collect(s, buffer)
+	if beforeClose != nil {
+		beforeClose(s)
 	}
 	return r, s.Close()
 }
 
-// startFor is what the boxes have to start.
-const startFor = time.Second
+// startupTime is how long the boxes have to start before the first request.
+const startupTime = time.Second
 
-// load lets requests come and faults happen until the time of the workload is over.
-func (w Workload) load(ctx context.Context, s *local.System, seed uint64, r *Result, tell func(string)) {
-	began := time.Now().Add(startFor)
-	ctx, cancel := context.WithDeadline(ctx, began.Add(time.Duration(w.Seconds)*time.Second))
+// generateLoad sends requests and runs the faults until the time of the workload is over, and
+// waits for the last replies.
+func (w Workload) generateLoad(ctx context.Context, s *local.System, seed uint64, r *Result, report func(string)) {
+	start := time.Now().Add(startupTime)
+	ctx, cancel := context.WithDeadline(ctx, start.Add(time.Duration(w.Seconds)*time.Second))
 	defer cancel()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, f := range w.Faults {
-		all.Go(func() { f.happen(ctx, s, began, tell) })
+		wg.Go(func() { f.run(ctx, s, start, report) })
 	}
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	for n := 0; waitUntil(ctx, w.next(rnd, began)); n++ {
-		path, pick, id := w.draw(rnd), rnd.Int(), fmt.Sprintf("r-%d-%d", seed, n)
-		all.Go(func() { w.ask(s, r, path, pick, id) })
+	for n := 0; waitUntil(ctx, w.nextRequestTime(rnd, start)); n++ {
+		kind, index, id := w.drawKind(rnd), rnd.Int(), fmt.Sprintf("r-%d-%d", seed, n)
+		wg.Go(func() { w.sendRequest(s, r, kind, index, id) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// next is when the next request comes.
-func (w Workload) next(rnd *rand.Rand, began time.Time) time.Time {
+// nextRequestTime returns when the next request is sent. The intervals are drawn for the rate of
+// the workload, which is PeakFactor times as high in the middle third.
+func (w Workload) nextRequestTime(rnd *rand.Rand, start time.Time) time.Time {
 	const thirds = 3
 	now := time.Now()
-	if now.Before(began) {
-		return began
+	if now.Before(start) {
+		return start
 	}
 	rate := w.Rate
-	if third := int(now.Sub(began).Seconds() * thirds / float64(w.Seconds)); third == 1 {
+	if third := int(now.Sub(start).Seconds() * thirds / float64(w.Seconds)); third == 1 {
 		rate *= w.PeakFactor
 	}
 	return now.Add(time.Duration(rnd.ExpFloat64() / rate * float64(time.Second)))
 }
 
-// draw is the kind of a request.
-func (w Workload) draw(rnd *rand.Rand) string {
+// drawKind draws the kind of a request by the shares of the workload's mix.
+func (w Workload) drawKind(rnd *rand.Rand) string {
 	kinds := []string{"once", "again", "stream", "group"}
 	total := 0.0
 	for _, k := range kinds {
@@ -169,26 +174,28 @@
 	return kinds[0]
 }
 
-// ask makes a request at a box that reports that it is ready, as the platform's balancer would,
-// and once more if the caller is informed when to come back.
-func (w Workload) ask(s *local.System, r *Result, kind string, pick int, id string) {
-	q := standin.Request{ID: id, Path: paths[kind], Key: key, Body: "text", Within: within}
-	reply := s.SendRequest(context.Background(), ready(s, pick), q)
+// sendRequest sends a request to a box that reports that it is ready, as the platform's balancer
+// would, and once more if the request did not run and the answer states when to retry.
+func (w Workload) sendRequest(s *local.System, r *Result, kind string, index int, id string) {
+	q := standin.Request{ID: id, Path: paths[kind], Key: apiKey, Body: "text", Within: callerTimeout}
+	reply := s.SendRequest(context.Background(), readyBox(s, index), q)
 	if reply.NotRun() && reply.Again > 0 {
-		r.cameBack()
+		r.addRetry()
 		time.Sleep(reply.Again)
 		q.ID += "-again"
-		reply = s.SendRequest(context.Background(), ready(s, pick+1), q)
+		reply = s.SendRequest(context.Background(), readyBox(s, index+1), q)
 	}
 	r.add(kind, reply)
 }
 
-func ready(s *local.System, pick int) *local.EntryBox {
+// readyBox returns the first ready box from the index on, or the box at the index if none is
+// ready.
+func readyBox(s *local.System, index int) *local.EntryBox {
 	all := s.Entries()
 	for i := range all {
-		if e := all[(pick+i)%len(all)]; e.Running() && e.Ready(context.Background()) {
+		if e := all[(index+i)%len(all)]; e.Running() && e.Ready(context.Background()) {
 			return e
 		}
 	}
-	return all[pick%len(all)]
+	return all[index%len(all)]
 }
--- a/demo/result.go
+++ b/demo/result.go
@@ -16,111 +16,111 @@
 	"clovertrail.dev/platform/standin"
 )
 
-// Result is how a run went.
+// Result holds the results of a run of a workload.
 //
 // Lock order: mu is the only lock.
 type Result struct {
 	workload Workload
 	shape    standin.GroupShape
 
-	mu      sync.Mutex
-	served  map[string]int // by kind
-	asked   map[string]int
-	wrong   []string // answers that were not the request's own
-	back    int      // callers that were told to come back
-	figures standin.Figures
-	first   float64 // skew on the map that a group is formed with
-	bound   float64
-	report  *logs.Report
+	mu           sync.Mutex
+	served       map[string]int // complete replies, by kind of request
+	sent         map[string]int
+	wrongReplies []string // replies that belong to another request or are damaged
+	retriedLater int      // callers that retried at the time stated in a refusal
+	figures      standin.Figures
+	firstSkew    float64 // skew with the map that a group is formed with
+	skewBound    float64
+	report       *logs.Report
 }
 
 func newResult(w Workload, s standin.GroupShape) *Result {
-	return &Result{workload: w, shape: s, served: map[string]int{}, asked: map[string]int{}}
+	return &Result{workload: w, shape: s, served: map[string]int{}, sent: map[string]int{}}
 }
 
-func (r *Result) cameBack() {
+func (r *Result) addRetry() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.back++
+	r.retriedLater++
 }
 
 func (r *Result) add(kind string, reply standin.Reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asked[kind]++
+	r.sent[kind]++
 	if reply.Right {
 		r.served[kind]++
 	}
 	if reply.Wrong != "" {
-		r.wrong = append(r.wrong, reply.Wrong)
+		r.wrongReplies = append(r.wrongReplies, reply.Wrong)
 	}
 }
 
-// end takes the figures of the group and what was logged.
-func (r *Result) end(s *local.System, log *lines) {
+// collect takes the figures of the group and the report on the log lines.
+func (r *Result) collect(s *local.System, log *logBuffer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.figures = s.Group().Figures()
-	r.first, r.bound = r.skews()
+	r.firstSkew, r.skewBound = r.skews()
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	set, err := logs.Read(bytes.NewReader(log.kept.Bytes()))
+	set, err := logs.Read(bytes.NewReader(log.text.Bytes()))
 	if err != nil {
-		panic(err) // memory is always read
+		panic(err) // reading from memory does not fail
 	}
 	r.report = logs.NewReport(set)
 }
 
-// skews are the skew on the first map, and the least that any map allows. Shifts of
-// demand change which experts are hot, not how hot they are.
+// skews returns the skew with the first map, and the lower bound of the skew with any map. Both
+// hold throughout: shifts of demand change which experts are hot, not how hot they are.
 func (r *Result) skews() (first, least float64) {
 	s, load := r.shape, make(rebalance.Load, r.shape.Layers)
-	dealt := make(rebalance.Map, s.Layers)
+	initial := make(rebalance.Map, s.Layers)
 	for layer := range load {
-		dealt[layer] = make([][]int, s.Ranks)
+		initial[layer] = make([][]int, s.Ranks)
 		for e := range s.Experts {
 			load[layer] = append(load[layer], s.Demand(time.Time{}, layer, e))
-			dealt[layer][e%s.Ranks] = append(dealt[layer][e%s.Ranks], e)
+			initial[layer][e%s.Ranks] = append(initial[layer][e%s.Ranks], e)
 		}
 	}
 	shape := rebalance.Shape{Ranks: s.Ranks, Layers: s.Layers, Experts: s.Experts, Slots: s.Places}
-	return rebalance.Planner{Shape: shape}.Plan(dealt, load).SkewBefore, rebalance.SkewLowerBound(shape, load)
+	return rebalance.Planner{Shape: shape}.Plan(initial, load).SkewBefore, rebalance.SkewLowerBound(shape, load)
 }
 
-// Violation is what must never be: a step on two maps, or an answer that was not the
-// request's own.
+// Violation returns an error if an invariant was violated: a step ran on two maps, or a reply
+// was not the answer to its own request.
 func (r *Result) Violation() error {
 	if r.figures.Broken != "" {
 		return fmt.Errorf("a step was begun on two maps: %s", r.figures.Broken)
 	}
-	if len(r.wrong) > 0 {
-		return fmt.Errorf("%d answers were not their requests' own, the first: %s", len(r.wrong), r.wrong[0])
+	if len(r.wrongReplies) > 0 {
+		return fmt.Errorf("%d answers were not their requests' own, the first: %s", len(r.wrongReplies), r.wrongReplies[0])
 	}
 	return nil
 }
 
-// Print reports how the run went.
+// Print writes the results as text.
 func (r *Result) Print(out io.Writer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	printf(w, "\nREQUESTS\tASKED\tSERVED\n")
-	for _, k := range slices.Sorted(maps.Keys(r.asked)) {
-		printf(w, "%s\t%d\t%d\n", k, r.asked[k], r.served[k])
+	for _, k := range slices.Sorted(maps.Keys(r.sent)) {
+		printf(w, "%s\t%d\t%d\n", k, r.sent[k], r.served[k])
 	}
 	printf(w, "\nENDS, BY ATTEMPT OF A CALLER\t\n")
 	for _, c := range r.report.Outcomes() {
 		printf(w, "%s\t%d\n", c.Label(), c.N())
 	}
-	printf(w, "told to come back\t%d\n", r.back)
+	printf(w, "told to come back\t%d\n", r.retriedLater)
 	first, pauses := r.report.FirstByte(), r.report.StreamPauses()
 	printf(w, "\nMS\tP50\tP95\tP99\n")
 	printf(w, "until an answer began\t%d\t%d\t%d\n", first.P50.Milliseconds(), first.P95.Milliseconds(), first.P99.Milliseconds())
 	printf(w, "longest pause of a stream\t%d\t%d\t%d\n", pauses.P50.Milliseconds(), pauses.P95.Milliseconds(), pauses.P99.Milliseconds())
-	_ = w.Flush() // a closed terminal ends nothing
+	_ = w.Flush() // output to a closed terminal is dropped
 	f := r.figures
 	printf(out, "\nThe group of %d ranks: load of the hottest over that of even ranks %.2f on average over %d steps;\n", r.shape.Ranks, f.Skew, f.Steps)
-	printf(out, "with its first map kept it would be %.2f, and no map can be under %.2f with %d places a rank.\n", r.first, r.bound, r.shape.Places)
+	printf(out, "with its first map kept it would be %.2f, and no map can be under %.2f with %d places a rank.\n", r.firstSkew, r.skewBound, r.shape.Places)
 	printf(out, "For that %d experts were copied and maps changed (%s); held %v.\n", f.Copies, changes(r.report), f.HeldFor.Round(time.Millisecond))
 }
 
@@ -136,14 +136,14 @@
 }
 
 func printf(out io.Writer, format string, args ...any) {
-	_, _ = fmt.Fprintf(out, format, args...) // a closed terminal ends nothing
+	_, _ = fmt.Fprintf(out, format, args...) // output to a closed terminal is dropped
 }
 
-// PrintAddresses reports how to reach a system that stays up.
+// PrintAddresses writes commands that reach a running system.
 func PrintAddresses(out io.Writer, s *local.System) {
 	e := s.Entries()[0]
 	printf(out, "\nThe system stays up; end it with Ctrl-C. Try:\n")
-	printf(out, "  curl -N -H 'Host: %s' -H 'Request-Id: 1' -H 'Authorization: Bearer %s' %s%s\n", standin.Host, key, e.URL(), paths["group"])
+	printf(out, "  curl -N -H 'Host: %s' -H 'Request-Id: 1' -H 'Authorization: Bearer %s' %s%s\n", standin.Host, apiKey, e.URL(), paths["group"])
 	printf(out, "  curl %s\n", e.MetricsURL())
 	printf(out, "  go run ./cmd/clovertrail status --store %s\n", s.StoreAddress())
 }
--- a/demo/workload.go
+++ b/demo/workload.go
@@ -14,55 +14,55 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrWorkload marks a workload that is not right.
+// ErrWorkload is the class of errors of workloads that cannot be read or are invalid.
 var ErrWorkload = errs.Class("workload")
 
-// Workload is what a run is made of.
+// Workload describes a run of the demonstration. Its fields are read from a workload file.
 type Workload struct {
-	// Seconds is how long requests come.
+	// Seconds is the time for which requests are sent.
 	Seconds int `json:"seconds"`
-	// Rate is the mean number of requests a second, and Peak how many times as many come
-	// in the middle third.
+	// Rate is the mean number of requests a second. In the middle third of the run it is
+	// PeakFactor times as high.
 	Rate       float64 `json:"rate"`
 	PeakFactor float64 `json:"peak"`
-	// Mix is the share of requests of each kind.
+	// Mix holds the relative share of each kind of request.
 	Mix map[string]float64 `json:"mix"`
-	// Halls, Entries, Targets and Ranks are how many there are: data halls, entry boxes,
-	// targets that stand alone, and ranks of the group.
+	// Halls, Entries, Targets and Ranks are the numbers of data halls, entry boxes, targets
+	// that belong to no group, and ranks of the group.
 	Halls, Entries, Targets, Ranks int
 	// DemandShiftInterval is the time between two shifts of demand to other experts.
 	DemandShiftInterval Seconds `json:"jump_seconds"`
-	// Faults are what goes wrong.
+	// Faults lists the faults with their times.
 	Faults []Fault `json:"faults"`
 }
 
-// Seconds is a time that a workload names in seconds.
+// Seconds is a duration in seconds, as workload files state it.
 type Seconds float64
 
-// Duration gives it.
+// Duration converts the seconds to a time.Duration.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// Fault is something that goes wrong at a time from the start, for so long.
+// Fault is a fault that starts at the time At after the start of the run and lasts for the time For.
 type Fault struct {
 	Kind  string  `json:"kind"`
 	At    Seconds `json:"at_seconds"`
 	For   Seconds `json:"for_seconds"`
-	Index int     `json:"pick"` // which box, rank or hall
+	Index int     `json:"pick"` // of the box, target, rank or pair of halls
 }
 
-// DefaultWorkload is what the demonstration plays where no file is named: a peak, and one
-// fault of each kind, spread over the run.
+// DefaultWorkload returns the workload of the demonstration without a workload file: a peak, and
+// one fault of each kind, spread over the run.
 func DefaultWorkload() Workload {
 	w := Workload{
 		Seconds: 20, Rate: 40, PeakFactor: 2, Mix: map[string]float64{"once": 1, "again": 1, "stream": 1, "group": 5},
 		Halls: 3, Entries: 6, Targets: 3, Ranks: 8, DemandShiftInterval: 5,
 	}
-	w.Faults = w.spread(slices.Sorted(maps.Keys(faults)))
+	w.Faults = w.spreadFaults(slices.Sorted(maps.Keys(faultKinds)))
 	return w
 }
 
-// spread gives faults of the kinds, one after the other.
-func (w Workload) spread(kinds []string) []Fault {
+// spreadFaults returns one fault of each kind, in order and evenly spread over the run.
+func (w Workload) spreadFaults(kinds []string) []Fault {
 	var list []Fault
 	each := float64(w.Seconds) / float64(len(kinds)+1)
 	for i, k := range kinds {
@@ -71,8 +71,8 @@
 	return list
 }
 
-// ReadWorkload reads a file of JSON with comments. What it does not name is as in
-// DefaultWorkload, but for the faults.
+// ReadWorkload reads a file of JSON with comments. Fields that are absent are as in
+// DefaultWorkload, but without faults.
 func ReadWorkload(file string) (Workload, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -92,13 +92,13 @@
 	if len(w.Mix) == 0 {
 		w.Mix = DefaultWorkload().Mix
 	}
-	if err := w.check(); err != nil {
+	if err := w.validate(); err != nil {
 		return Workload{}, ErrWorkload.New("%s: %v", file, err)
 	}
 	return w, nil
 }
 
-func (w Workload) check() error {
+func (w Workload) validate() error {
 	for _, x := range []struct {
 		name string
 		n    int
@@ -116,21 +116,22 @@
 		}
 	}
 	for _, f := range w.Faults {
-		if _, ok := faults[f.Kind]; !ok {
-			return fmt.Errorf("faults: %q is not one of %s", f.Kind, strings.Join(slices.Sorted(maps.Keys(faults)), ", "))
+		if _, ok := faultKinds[f.Kind]; !ok {
+			return fmt.Errorf("faults: %q is not one of %s", f.Kind, strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "))
 		}
 	}
 	return nil
 }
 
-// Shortened is the workload played in so many seconds, with its faults as much sooner.
+// Shortened returns the workload with the given length in seconds. The times of its faults are
+// scaled by the same factor.
 func (w Workload) Shortened(seconds int) Workload {
-	share := Seconds(float64(seconds) / float64(w.Seconds))
+	scale := Seconds(float64(seconds) / float64(w.Seconds))
 	w.Seconds = seconds
 	w.Faults = slices.Clone(w.Faults)
 	for i := range w.Faults {
-		w.Faults[i].At *= share
-		w.Faults[i].For *= share
+		w.Faults[i].At *= scale
+		w.Faults[i].For *= scale
 	}
 	return w
 }
--- a/local/system.go
+++ b/local/system.go
@@ -231,7 +231,7 @@
 // Metrics returns the metrics that all processes share. They count only if Layout.Log is set.
 func (s *System) Metrics() *telemetry.Metrics { return s.metrics }
 
-// recordFailure notes how a process recordFailure.
+// recordFailure keeps the error with which a process ended by itself.
 func (s *System) recordFailure(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
