--- a/local/fatal_test.go
+++ b/local/fatal_test.go
@@ -16,43 +16,43 @@
 // ago, had lost targets to: what is remembered of a request ended with each try of it. What
 // proved it: this test brings the pairs about, and they end with the memory.
 
-// fatal is the body of a request that crashes whatever runs it.
-const fatal = "fatal"
+// fatalText is the body of a request that crashes whatever runs it.
+const fatalText = "fatal"
 
-// graceAfterCrashes is how long boxes have to notify each other of a request under which
+// quarantineGrace is how long boxes have to notify each other of a request under which
 // enough targets have ended.
-const graceAfterCrashes = 3 * time.Second
+const quarantineGrace = 3 * time.Second
 
-// mostAfterCrashes is how many times such a request may reach targets after that.
-const mostAfterCrashes = 3
+// maxRunsAfterGrace is how many times such a request may reach targets after that.
+const maxRunsAfterGrace = 3
 
-// calls are those of a caller who asks for the same over and over, at one box after another.
-type calls struct {
-	path    string
-	within  time.Duration                  // the caller leaves then
-	box     func(try int) int              // nil for one after another
-	before  func(s *local.System)          // happens before the first try; nil for nothing
-	between func(s *local.System, try int) // happens after each try; nil for nothing
+// fatalCaller are those of a caller who asks for the same over and over, at one box after another.
+type fatalCaller struct {
+	path        string
+	timeout     time.Duration                  // the caller leaves then
+	chooseBox   func(try int) int              // nil for one after another
+	beforeFirst func(s *local.System)          // happens before the first try; nil for nothing
+	afterEach   func(s *local.System, try int) // happens after each try; nil for nothing
 }
 
-func (c calls) make(s *local.System, h *history) {
+func (c fatalCaller) run(s *local.System, h *history) {
 	const tries = 60
 	time.Sleep(time.Second)
-	if c.before != nil {
-		c.before(s)
+	if c.beforeFirst != nil {
+		c.beforeFirst(s)
 	}
 	for try := range tries {
 		e := entry(s, try)
-		if c.box != nil {
-			e = entry(s, c.box(try))
+		if c.chooseBox != nil {
+			e = entry(s, c.chooseBox(try))
 		}
 		if e.Running() {
-			q := standin.Request{ID: h.id(), Path: c.path, Key: key, Body: fatal, Within: c.within}
-			h.add(asked{request: q, box: e.Name(), at: time.Now(), reply: s.SendRequest(context.Background(), e, q)})
+			q := standin.Request{ID: h.nextID(), Path: c.path, Key: apiKey, Body: fatalText, Within: c.timeout}
+			h.add(exchange{request: q, box: e.Name(), sentAt: time.Now(), reply: s.SendRequest(context.Background(), e, q)})
 		}
 		time.Sleep(300 * time.Millisecond)
-		if c.between != nil {
-			c.between(s, try)
+		if c.afterEach != nil {
+			c.afterEach(s, try)
 		}
 	}
 }
@@ -88,49 +88,49 @@
 	for _, tc := range []struct {
 		name  string
 		halls int // 0 for two
-		calls calls
+		calls fatalCaller
 	}{
-		{"repeatable", 0, calls{path: "/again/x", within: patient}},
-		{"once only", 0, calls{path: "/once/x", within: patient}},
-		{"stream", 0, calls{path: "/stream/x", within: patient}},
-		{"all boxes die", 0, calls{path: "/again/x", within: patient, between: func(s *local.System, try int) {
+		{"repeatable", 0, fatalCaller{path: "/again/x", timeout: patient}},
+		{"once only", 0, fatalCaller{path: "/once/x", timeout: patient}},
+		{"stream", 0, fatalCaller{path: "/stream/x", timeout: patient}},
+		{"all boxes die", 0, fatalCaller{path: "/again/x", timeout: patient, afterEach: func(s *local.System, try int) {
 			if try%15 == 14 {
 				killAll(s)
 			}
 		}}},
-		{"boxes die in turn", 0, calls{path: "/again/x", within: patient, between: func(s *local.System, try int) {
+		{"boxes die in turn", 0, fatalCaller{path: "/again/x", timeout: patient, afterEach: func(s *local.System, try int) {
 			if try%4 == 3 {
 				entry(s, try/4).Kill()
 				_ = entry(s, try/4).Start()
 			}
 		}}},
-		{"the caller leaves before the target ends", 0, calls{path: "/again/x", within: crashAfter / 2}},
+		{"the caller leaves before the target ends", 0, fatalCaller{path: "/again/x", timeout: crashAfter / 2}},
 		// The caller goes from one hall to the next, each of which only the store can tell.
-		{"halls are cut from each other", 4, calls{path: "/again/x", within: patient, box: func(try int) int { return try / 15 }, before: cutHalls}},
+		{"halls are cut from each other", 4, fatalCaller{path: "/again/x", timeout: patient, chooseBox: func(try int) int { return try / 15 }, beforeFirst: cutHalls}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			sc := busy()
+			sc := busyScenario()
 			sc.seed, sc.length, sc.paths = 1, 24*time.Second, []string{"/again/y"}
-			sc.operate = tc.calls.make
-			sc.fatal, sc.halls = fatal, tc.halls
+			sc.operator = tc.calls.run
+			sc.fatalBody, sc.halls = fatalText, tc.halls
 			sc.run(t, func(s *local.System, h *history) {
 				var at []time.Time
 				for _, r := range s.Runs() {
-					if r.Body == fatal {
+					if r.Body == fatalText {
 						at = append(at, r.At)
 					}
 				}
 				late := 0
 				for i, x := range at {
-					if i >= 3 && x.Sub(at[2]) > graceAfterCrashes {
+					if i >= 3 && x.Sub(at[2]) > quarantineGrace {
 						late++
 					}
 				}
-				if late > mostAfterCrashes {
+				if late > maxRunsAfterGrace {
 					t.Errorf("targets ran it %d times, %d of them too late", len(at), late)
 				}
-				if len(at) == 0 || h.right() == 0 {
-					t.Errorf("ran %d times, %d others were served: the run shows nothing", len(at), h.right())
+				if len(at) == 0 || h.served() == 0 {
+					t.Errorf("ran %d times, %d others were served: the run shows nothing", len(at), h.served())
 				}
 			})
 		})
@@ -140,15 +140,15 @@
 // TestWhoCrashesNothingIsServed: requests that ran beside one that crashes targets are not
 // taken for it: their callers are served as soon as there are targets again.
 func TestWhoCrashesNothingIsServed(t *testing.T) {
-	sc := busy()
+	sc := busyScenario()
 	sc.seed, sc.length, sc.paths = 1, 24*time.Second, []string{"/again/y", "/stream/y"}
-	sc.operate = calls{path: "/again/x", within: 2 * time.Second}.make
-	sc.fatal = fatal
+	sc.operator = fatalCaller{path: "/again/x", timeout: 2 * time.Second}.run
+	sc.fatalBody = fatalText
 	sc.run(t, func(_ *local.System, h *history) {
 		served, failed := 0, 0
-		for _, a := range h.asked {
+		for _, a := range h.exchanges {
 			switch {
-			case a.request.Body == fatal:
+			case a.request.Body == fatalText:
 			case a.reply.Right:
 				served++
 			default:
@@ -165,15 +165,15 @@
 // what was under way over them breaks off and its targets refuse connections, as if all had
 // ended.
 func TestACutThatRefusesPutsNothingInQuarantine(t *testing.T) {
-	sc := busy()
+	sc := busyScenario()
 	sc.seed, sc.callers = 1, 40
 	for n := range 4 {
-		sc.troubles = append(sc.troubles, trouble{kind: "refuse link", at: time.Duration(2+2*n) * time.Second, last: time.Second})
+		sc.faults = append(sc.faults, faultSpec{kind: "refuse link", at: time.Duration(2+2*n) * time.Second, lasts: time.Second})
 	}
-	seen := &lines{}
+	seen := &logBuffer{}
 	sc.log = seen
 	sc.run(t, func(_ *local.System, h *history) {
-		if seen.count("attempt failed") == 0 || h.right() == 0 {
+		if seen.count("attempt failed") == 0 || h.served() == 0 {
 			t.Error("nothing broke off, or nothing was served: the run shows nothing")
 		}
 		for _, line := range []string{"target ended under work", "work in quarantine", "kind=quarantined"} {
--- a/local/limit_test.go
+++ b/local/limit_test.go
@@ -23,20 +23,20 @@
 const (
 	// limitWindow is the time in which what reaches a target is added up.
 	limitWindow = 4 * time.Second
-	// limitOver and limitSlack are what a target bears beyond its limit: so many times as much,
+	// limitFactor and limitSlack are what a target bears beyond its limit: so many times as much,
 	// and so many requests more.
-	limitOver, limitSlack = 1.5, 5
-	// limitNamed is when targets name their limit, and limitEnd when the run ends.
-	limitNamed, limitEnd = 2 * time.Second, 16 * time.Second
+	limitFactor, limitSlack = 1.5, 5
+	// limitStart is when targets name their limit, and limitEnd when the run ends.
+	limitStart, limitEnd = 2 * time.Second, 16 * time.Second
 )
 
-// borne is how many requests a target with the limit bears in a window.
-func borne(perSecond float64) int {
-	return int(perSecond*limitWindow.Seconds()*limitOver + limitSlack)
+// allowedInWindow is how many requests a target with the limit bears in a window.
+func allowedInWindow(perSecond float64) int {
+	return int(perSecond*limitWindow.Seconds()*limitFactor + limitSlack)
 }
 
-// naming lets the targets name the limit from the time on.
-func naming(targets func(*local.System) []*standin.Target, perSecond float64, from time.Duration) func(*local.System) {
+// setLimit lets the targets name the limit from the time on.
+func setLimit(targets func(*local.System) []*standin.Target, perSecond float64, from time.Duration) func(*local.System) {
 	return func(s *local.System) {
 		time.Sleep(from)
 		for _, x := range targets(s) {
@@ -45,9 +45,9 @@
 	}
 }
 
-// most is the most requests that reached the target in a window that began at the time or later,
+// maxInWindow is the maxInWindow requests that reached the target in a window that began at the time or later,
 // and ended by the other.
-func most(arrivals []standin.Arrival, from, to time.Time) int {
+func maxInWindow(arrivals []standin.Arrival, from, to time.Time) int {
 	list := between(arrivals, from, to)
 	worst := 0
 	for i, first := range list {
@@ -76,11 +76,11 @@
 // least the share of what it takes. It reports what was sent beside what is allowed and taken.
 func checkLimit(t *testing.T, name string, arrivals []standin.Arrival, perSecond, share float64, from, to time.Time) {
 	t.Helper()
-	sent, worst := len(between(arrivals, from, to)), most(arrivals, from, to)
+	sent, worst := len(between(arrivals, from, to)), maxInWindow(arrivals, from, to)
 	takes := perSecond * to.Sub(from).Seconds()
-	t.Logf("%s: sent %d, takes %.1f; sent at most %d in %v, bears %d", name, sent, takes, worst, limitWindow, borne(perSecond))
-	if worst > borne(perSecond) {
-		t.Errorf("%s takes %v requests a second, and was sent %d in %v; it bears %d", name, perSecond, worst, limitWindow, borne(perSecond))
+	t.Logf("%s: sent %d, takes %.1f; sent at most %d in %v, bears %d", name, sent, takes, worst, limitWindow, allowedInWindow(perSecond))
+	if worst > allowedInWindow(perSecond) {
+		t.Errorf("%s takes %v requests a second, and was sent %d in %v; it bears %d", name, perSecond, worst, limitWindow, allowedInWindow(perSecond))
 	}
 	if float64(sent) < share*takes {
 		t.Errorf("%s takes %.1f requests in %v, and was sent %d", name, takes, to.Sub(from), sent)
@@ -98,46 +98,46 @@
 		perSecond float64
 		share     float64 // of what it takes, that it gets at least
 		load      scenario
-		also      []trouble
+		also      []faultSpec
 	}{
-		{"one of four", alone(1), 1.5, 0.8, scenario{}, nil},
-		{"half of them", alone(2), 1.5, 0.8, scenario{}, nil},
-		{"all of a service", alone(4), 1.5, 0.8, scenario{}, nil},
-		{"all of a service, which take more", alone(4), 8, 0.8, scenario{}, nil},
-		{"a rank of a group", ranks(1), 1.5, 0.8, scenario{paths: []string{standin.GroupPath + "x", "/again/x"}}, nil},
-		{"less than a request a box", alone(2), 0.4, 0.6, scenario{entries: 12}, nil},
-		{"many boxes, all of a service", alone(4), 2, 0.8, scenario{entries: 24, callers: 40}, nil},
-		{"streams that may be taken up elsewhere", alone(2), 1.5, 0.8, scenario{paths: []string{"/stream/x"}}, []trouble{
-			{kind: "target breaks", at: time.Second, last: 14 * time.Second, pick: 3}}},
-		{"the others fail", alone(2), 1.5, 0.8, scenario{}, []trouble{
-			{kind: "target fails", at: 3 * time.Second, last: 12 * time.Second, pick: 2},
-			{kind: "target fails", at: 4 * time.Second, last: 11 * time.Second, pick: 3}}},
-		{"boxes die and start again", alone(2), 1.5, 0.5, scenario{}, []trouble{
-			{kind: "kill entry", at: 4 * time.Second, last: time.Second, pick: 0},
-			{kind: "kill entry", at: 6 * time.Second, last: 100 * time.Millisecond, pick: 1},
-			{kind: "kill entry", at: 8 * time.Second, last: 3 * time.Second, pick: 2},
-			{kind: "kill entry", at: 12 * time.Second, last: 50 * time.Millisecond, pick: 3}}},
-		{"all boxes start again at once", alone(4), 1.5, 0.3, scenario{}, []trouble{
-			{kind: "kill entry", at: 8 * time.Second, last: 50 * time.Millisecond, pick: 0},
-			{kind: "kill entry", at: 8 * time.Second, last: 50 * time.Millisecond, pick: 1},
-			{kind: "kill entry", at: 8 * time.Second, last: 50 * time.Millisecond, pick: 2},
-			{kind: "kill entry", at: 8 * time.Second, last: 50 * time.Millisecond, pick: 3}}},
-		{"boxes stop one after another", alone(4), 1.5, 0.5, scenario{}, []trouble{
-			{kind: "stop entry", at: 4 * time.Second, last: time.Second, pick: 0},
-			{kind: "stop entry", at: 7 * time.Second, last: time.Second, pick: 1},
-			{kind: "stop entry", at: 10 * time.Second, last: time.Second, pick: 2}}},
-		{"boxes that do not hear each other", alone(6), 1.5, 0.5, scenario{halls: 3, entries: 6, targets: 6}, []trouble{
-			{kind: "silence link", at: 5 * time.Second, last: 7 * time.Second}}},
-		{"halls refuse each other for moments", alone(4), 4, 0.5, scenario{}, []trouble{
-			{kind: "refuse link", at: 5 * time.Second, last: 50 * time.Millisecond},
-			{kind: "refuse link", at: 7 * time.Second, last: 300 * time.Millisecond},
-			{kind: "refuse link", at: 9 * time.Second, last: 2 * time.Second}}},
-		{"links are slow", alone(2), 1.5, 0.5, scenario{}, []trouble{{kind: "slow link", at: time.Second, last: 14 * time.Second}}},
-		{"the store is away", alone(2), 1.5, 0.8, scenario{}, []trouble{{kind: "store silent", at: time.Second, last: 14 * time.Second}}},
+		{"one of four", plainTargets(1), 1.5, 0.8, scenario{}, nil},
+		{"half of them", plainTargets(2), 1.5, 0.8, scenario{}, nil},
+		{"all of a service", plainTargets(4), 1.5, 0.8, scenario{}, nil},
+		{"all of a service, which take more", plainTargets(4), 8, 0.8, scenario{}, nil},
+		{"a rank of a group", rankTargets(1), 1.5, 0.8, scenario{paths: []string{standin.GroupPath + "x", "/again/x"}}, nil},
+		{"less than a request a box", plainTargets(2), 0.4, 0.6, scenario{entries: 12}, nil},
+		{"many boxes, all of a service", plainTargets(4), 2, 0.8, scenario{entries: 24, callers: 40}, nil},
+		{"streams that may be taken up elsewhere", plainTargets(2), 1.5, 0.8, scenario{paths: []string{"/stream/x"}}, []faultSpec{
+			{kind: "target breaks", at: time.Second, lasts: 14 * time.Second, index: 3}}},
+		{"the others fail", plainTargets(2), 1.5, 0.8, scenario{}, []faultSpec{
+			{kind: "target fails", at: 3 * time.Second, lasts: 12 * time.Second, index: 2},
+			{kind: "target fails", at: 4 * time.Second, lasts: 11 * time.Second, index: 3}}},
+		{"boxes die and start again", plainTargets(2), 1.5, 0.5, scenario{}, []faultSpec{
+			{kind: "kill entry", at: 4 * time.Second, lasts: time.Second, index: 0},
+			{kind: "kill entry", at: 6 * time.Second, lasts: 100 * time.Millisecond, index: 1},
+			{kind: "kill entry", at: 8 * time.Second, lasts: 3 * time.Second, index: 2},
+			{kind: "kill entry", at: 12 * time.Second, lasts: 50 * time.Millisecond, index: 3}}},
+		{"all boxes start again at once", plainTargets(4), 1.5, 0.3, scenario{}, []faultSpec{
+			{kind: "kill entry", at: 8 * time.Second, lasts: 50 * time.Millisecond, index: 0},
+			{kind: "kill entry", at: 8 * time.Second, lasts: 50 * time.Millisecond, index: 1},
+			{kind: "kill entry", at: 8 * time.Second, lasts: 50 * time.Millisecond, index: 2},
+			{kind: "kill entry", at: 8 * time.Second, lasts: 50 * time.Millisecond, index: 3}}},
+		{"boxes stop one after another", plainTargets(4), 1.5, 0.5, scenario{}, []faultSpec{
+			{kind: "stop entry", at: 4 * time.Second, lasts: time.Second, index: 0},
+			{kind: "stop entry", at: 7 * time.Second, lasts: time.Second, index: 1},
+			{kind: "stop entry", at: 10 * time.Second, lasts: time.Second, index: 2}}},
+		{"boxes that do not hear each other", plainTargets(6), 1.5, 0.5, scenario{halls: 3, entries: 6, targets: 6}, []faultSpec{
+			{kind: "silence link", at: 5 * time.Second, lasts: 7 * time.Second}}},
+		{"halls refuse each other for moments", plainTargets(4), 4, 0.5, scenario{}, []faultSpec{
+			{kind: "refuse link", at: 5 * time.Second, lasts: 50 * time.Millisecond},
+			{kind: "refuse link", at: 7 * time.Second, lasts: 300 * time.Millisecond},
+			{kind: "refuse link", at: 9 * time.Second, lasts: 2 * time.Second}}},
+		{"links are slow", plainTargets(2), 1.5, 0.5, scenario{}, []faultSpec{{kind: "slow link", at: time.Second, lasts: 14 * time.Second}}},
+		{"the store is away", plainTargets(2), 1.5, 0.8, scenario{}, []faultSpec{{kind: "store silent", at: time.Second, lasts: 14 * time.Second}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sc := tc.load
-			sc.seed, sc.length, sc.troubles, sc.events, sc.gap = 1, limitEnd, tc.also, 12, 40*time.Millisecond
+			sc.seed, sc.length, sc.faults, sc.events, sc.eventGap = 1, limitEnd, tc.also, 12, 40*time.Millisecond
 			if sc.callers == 0 {
 				sc.callers = 24
 			}
@@ -145,16 +145,16 @@
 				sc.paths = plain
 			}
 			var start time.Time
-			sc.operate = func(s *local.System, _ *history) {
+			sc.operator = func(s *local.System, _ *history) {
 				start = time.Now()
-				naming(tc.targets, tc.perSecond, limitNamed)(s)
+				setLimit(tc.targets, tc.perSecond, limitStart)(s)
 			}
 			sc.run(t, func(s *local.System, h *history) {
-				from := start.Add(limitNamed + bounds().Contact.Std())
+				from := start.Add(limitStart + bounds().Contact.Std())
 				for _, x := range tc.targets(s) {
 					checkLimit(t, x.ID(), x.Arrivals(), tc.perSecond, tc.share, from, start.Add(limitEnd))
 				}
-				if h.right() == 0 {
+				if h.served() == 0 {
 					t.Error("nothing was served: the run shows nothing")
 				}
 			})
@@ -162,8 +162,8 @@
 	}
 }
 
-// limits lets the targets name each text as their limit, one after the other; empty for none.
-func limits(targets func(*local.System) []*standin.Target, each time.Duration, texts ...string) func(*local.System) {
+// setLimits lets the targets name each text as their limit, one after the other; empty for none.
+func setLimits(targets func(*local.System) []*standin.Target, each time.Duration, texts ...string) func(*local.System) {
 	return func(s *local.System) {
 		for _, text := range texts {
 			for _, x := range targets(s) {
@@ -195,10 +195,10 @@
 		{"it starts again with another", []string{"9", "1.5"}, []float64{9, 1.5}, []int{1}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			sc := scenario{seed: 1, length: each * time.Duration(len(tc.texts)), callers: 16, paths: []string{"/again/x", "/once/x", "/stream/x"}, events: 12, gap: 40 * time.Millisecond}
+			sc := scenario{seed: 1, length: each * time.Duration(len(tc.texts)), callers: 16, paths: []string{"/again/x", "/once/x", "/stream/x"}, events: 12, eventGap: 40 * time.Millisecond}
 			var from []time.Time
 			var arrivals [][]standin.Arrival
-			sc.operate = func(s *local.System, _ *history) {
+			sc.operator = func(s *local.System, _ *history) {
 				for i, text := range tc.texts {
 					if slices.Contains(tc.starts, i) {
 						if err := s.Targets()[0].Restart(); err != nil {
@@ -206,7 +206,7 @@
 						}
 					}
 					from = append(from, time.Now())
-					limits(alone(1), each, text)(s)
+					setLimits(plainTargets(1), each, text)(s)
 					arrivals = append(arrivals, s.Targets()[0].Target().Arrivals())
 				}
 			}
@@ -232,20 +232,20 @@
 // once, with times to come back that are spread; those that are served are served in time.
 func TestWhereAllTargetsAreLimitedTheRestIsRefusedAtOnce(t *testing.T) {
 	const perSecond, atOnce, within = 4, 150 * time.Millisecond, 4 * time.Second
-	sc := scenario{seed: 1, length: limitEnd, callers: 24, paths: []string{"/again/x", "/once/x"}, within: within}
+	sc := scenario{seed: 1, length: limitEnd, callers: 24, paths: []string{"/again/x", "/once/x"}, timeout: within}
 	var start time.Time
-	sc.operate = func(s *local.System, _ *history) {
+	sc.operator = func(s *local.System, _ *history) {
 		start = time.Now()
-		naming(alone(4), perSecond, 0)(s)
+		setLimit(plainTargets(4), perSecond, 0)(s)
 	}
 	sc.run(t, func(_ *local.System, h *history) {
 		var again []time.Duration
 		served, late := 0, 0
-		for _, a := range h.asked {
-			if a.at.Sub(start) < bounds().Contact.Std() {
+		for _, a := range h.exchanges {
+			if a.sentAt.Sub(start) < bounds().Contact.Std() {
 				continue
 			}
-			took := a.done.Sub(a.at)
+			took := a.repliedAt.Sub(a.sentAt)
 			switch {
 			case a.reply.Right:
 				served++
@@ -292,14 +292,14 @@
 // has just started learns of it from them, and does not send each target a request to find out.
 func TestABoxThatStartsHearsOfLimits(t *testing.T) {
 	const targets, out, atOnce = 24, 20, 60
-	seen := &lines{}
+	seen := &logBuffer{}
 	foundOut := func() int {
 		return seen.countLines(`msg="target limit" box=entry-0 `, "source=answer")
 	}
 	before, after := 0, 0
 	sc := scenario{seed: 1, targets: targets, callers: 12, length: 5 * time.Second, paths: []string{"/again/x"}, log: seen}
-	sc.operate = func(s *local.System, h *history) {
-		naming(alone(out), 0, 0)(s)
+	sc.operator = func(s *local.System, h *history) {
+		setLimit(plainTargets(out), 0, 0)(s)
 		time.Sleep(6 * time.Second)
 		box := entry(s, 0)
 		box.Kill()
@@ -309,13 +309,13 @@
 		time.Sleep(100 * time.Millisecond)
 		before = foundOut()
 		for range atOnce {
-			sc.ask(s, h, box, "/again/x")
+			sc.send(s, h, box, "/again/x")
 		}
 		after = foundOut()
 	}
 	sc.run(t, func(_ *local.System, h *history) {
-		if after > before || h.right() < atOnce {
-			t.Errorf("it found out by itself of %d targets that take nothing; %d requests were served", after-before, h.right())
+		if after > before || h.served() < atOnce {
+			t.Errorf("it found out by itself of %d targets that take nothing; %d requests were served", after-before, h.served())
 		}
 	})
 }
@@ -323,15 +323,15 @@
 // TestAllBoxesHearOfALimit: what one box learns by an answer, that a target names a limit or none any
 // more, the others know a second later.
 func TestAllBoxesHearOfALimit(t *testing.T) {
-	seen := &lines{}
+	seen := &logBuffer{}
 	know := map[string][]int{} // by limit: lines of each box that say so
 	sc := scenario{seed: 1, log: seen}
-	sc.operate = func(s *local.System, h *history) {
+	sc.operator = func(s *local.System, h *history) {
 		time.Sleep(5 * time.Second) // boxes that have just started are told all
 		for _, limit := range []string{"7", "none"} {
 			s.Targets()[0].Target().Behave(func(h *standin.Habits) { h.Limit = strings.TrimSuffix(limit, "none") })
 			for range 40 {
-				sc.ask(s, h, entry(s, 0), "/again/x")
+				sc.send(s, h, entry(s, 0), "/again/x")
 			}
 			time.Sleep(time.Second)
 			for _, e := range s.Entries() {
--- a/local/rest_test.go
+++ b/local/rest_test.go
@@ -18,14 +18,14 @@
 // which it was asked for rest, and none once the roster keeps what they asked for.
 
 const (
-	// restGrace is how long after its answer a target bears what was under way to it.
-	restGrace = 500 * time.Millisecond
-	// restMost is how many requests of a box a target bears in the rest of the time.
-	restMost = 2
+	// restGracePeriod is how long after its answer a target bears what was under way to it.
+	restGracePeriod = 500 * time.Millisecond
+	// maxDuringRest is how many requests of a box a target bears in the rest of the time.
+	maxDuringRest = 2
 )
 
-// resting makes the targets turn all away and ask for rest between the times.
-func resting(targets func(*local.System) []*standin.Target, rest, from, to time.Duration) func(*local.System, *history) {
+// rejectBetween makes the targets turn all away and ask for rest between the times.
+func rejectBetween(targets func(*local.System) []*standin.Target, rest, from, to time.Duration) func(*local.System, *history) {
 	return func(s *local.System, _ *history) {
 		set := func(on bool) {
 			for _, x := range targets(s) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// alone are the first targets that stand alone; ranks are the first of the group.
-func alone(n int) func(*local.System) []*standin.Target {
+// plainTargets are the first targets that stand plainTargets; ranks are the first of the group.
+func plainTargets(n int) func(*local.System) []*standin.Target {
 	return func(s *local.System) (list []*standin.Target) {
 		for _, x := range s.Targets()[:n] {
 			list = append(list, x.Target())
@@ -49,7 +49,7 @@
 	}
 }
 
-func ranks(n int) func(*local.System) []*standin.Target {
+func rankTargets(n int) func(*local.System) []*standin.Target {
 	return func(s *local.System) (list []*standin.Target) {
 		for r := range n {
 			list = append(list, s.Group().Target(r))
@@ -58,23 +58,23 @@
 	}
 }
 
-// boxesOf is which box had each request.
-func boxesOf(h *history) map[string]string {
+// boxByRequest is which box had each request.
+func boxByRequest(h *history) map[string]string {
 	boxes := map[string]string{}
-	for _, a := range h.asked {
+	for _, a := range h.exchanges {
 		boxes[a.request.ID] = a.box
 	}
 	return boxes
 }
 
-// disturbed is the most requests that one box sent a target in a time for which that had asked
+// maxRequestsDuringRest is the most requests that one box sent a target in a time for which that had asked
 // it for rest, but for its beginning.
-func disturbed(turned []standin.Turned, boxes map[string]string) int {
+func maxRequestsDuringRest(turned []standin.Turned, boxes map[string]string) int {
 	most := 0
 	for _, asked := range turned {
 		n := 0
 		for _, x := range turned {
-			if boxes[x.ID] == boxes[asked.ID] && x.At.Sub(asked.At) > restGrace && x.At.Before(asked.RestUntil) {
+			if boxes[x.ID] == boxes[asked.ID] && x.At.Sub(asked.At) > restGracePeriod && x.At.Before(asked.RestUntil) {
 				n++
 			}
 		}
@@ -91,31 +91,31 @@
 		name    string
 		targets func(*local.System) []*standin.Target
 		paths   []string
-		also    []trouble
+		also    []faultSpec
 	}{
-		{"one of four", alone(1), all, nil},
-		{"half of them", alone(2), all, nil},
-		{"all of a service", alone(4), all, nil},
-		{"a rank of a group", ranks(1), []string{standin.GroupPath + "x", "/again/x"}, nil},
-		{"streams that may be taken up elsewhere", alone(2), []string{"/stream/x"}, []trouble{{kind: "target breaks", at: time.Second, last: 9 * time.Second, pick: 3}}},
-		{"the store is away", alone(2), all, []trouble{{kind: "store silent", at: time.Second, last: 10 * time.Second}}},
-		{"links are slow", alone(2), all, []trouble{{kind: "slow link", at: time.Second, last: 10 * time.Second}}},
+		{"one of four", plainTargets(1), allPaths, nil},
+		{"half of them", plainTargets(2), allPaths, nil},
+		{"all of a service", plainTargets(4), allPaths, nil},
+		{"a rank of a group", rankTargets(1), []string{standin.GroupPath + "x", "/again/x"}, nil},
+		{"streams that may be taken up elsewhere", plainTargets(2), []string{"/stream/x"}, []faultSpec{{kind: "target breaks", at: time.Second, lasts: 9 * time.Second, index: 3}}},
+		{"the store is away", plainTargets(2), allPaths, []faultSpec{{kind: "store silent", at: time.Second, lasts: 10 * time.Second}}},
+		{"links are slow", plainTargets(2), allPaths, []faultSpec{{kind: "slow link", at: time.Second, lasts: 10 * time.Second}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			sc := busy()
-			sc.seed, sc.length, sc.callers, sc.paths, sc.troubles = 1, 14*time.Second, 16, tc.paths, tc.also
-			sc.operate = resting(tc.targets, rest, 2*time.Second, 9*time.Second)
+			sc := busyScenario()
+			sc.seed, sc.length, sc.callers, sc.paths, sc.faults = 1, 14*time.Second, 16, tc.paths, tc.also
+			sc.operator = rejectBetween(tc.targets, rest, 2*time.Second, 9*time.Second)
 			sc.run(t, func(s *local.System, h *history) {
-				boxes, asks := boxesOf(h), 0
+				boxes, asks := boxByRequest(h), 0
 				for _, x := range tc.targets(s) {
 					turned := x.Turned()
 					asks += len(turned)
-					if n := disturbed(turned, boxes); n > restMost {
+					if n := maxRequestsDuringRest(turned, boxes); n > maxDuringRest {
 						t.Errorf("a target had asked a box for %v of rest, and got %d requests from it in that time", rest, n)
 					}
 				}
-				if asks == 0 || h.right() == 0 {
-					t.Errorf("%d requests were turned away, %d served: the run shows nothing", asks, h.right())
+				if asks == 0 || h.served() == 0 {
+					t.Errorf("%d requests were turned away, %d served: the run shows nothing", asks, h.served())
 				}
 			})
 		})
@@ -126,13 +126,13 @@
 // much longer are refused at once, and come back as the first of them takes work again.
 func TestCallersAreToldWhenRestingTargetsTakeWork(t *testing.T) {
 	const rest, spread = time.Second, 250 * time.Millisecond
-	sc := busy()
-	sc.seed, sc.length, sc.callers, sc.within = 1, 10*time.Second, 16, 30*time.Second
+	sc := busyScenario()
+	sc.seed, sc.length, sc.callers, sc.timeout = 1, 10*time.Second, 16, 30*time.Second
 	sc.paths = []string{"/again/x", "/once/x", "/stream/x"}
-	sc.operate = resting(alone(4), rest, 2*time.Second, 6*time.Second)
+	sc.operator = rejectBetween(plainTargets(4), rest, 2*time.Second, 6*time.Second)
 	sc.run(t, func(_ *local.System, h *history) {
 		refused := 0
-		for _, a := range h.asked {
+		for _, a := range h.exchanges {
 			if !a.reply.NotRun() {
 				continue
 			}
@@ -140,12 +140,12 @@
 			if a.reply.Again <= 0 || a.reply.Again > rest+spread {
 				t.Errorf("%s is told to come back in %v", a.request.ID, a.reply.Again)
 			}
-			if took := a.done.Sub(a.at); took > spread {
+			if took := a.repliedAt.Sub(a.sentAt); took > spread {
 				t.Errorf("%s is refused after %v", a.request.ID, took)
 			}
 		}
-		if refused == 0 || h.right() == 0 {
-			t.Errorf("%d were refused, %d served: the run shows nothing", refused, h.right())
+		if refused == 0 || h.served() == 0 {
+			t.Errorf("%d were refused, %d served: the run shows nothing", refused, h.served())
 		}
 	})
 }
@@ -155,17 +155,17 @@
 // of the attempts than their part of the targets; the others, which have room, serve the callers.
 func TestWhoTurnsAllAwayDoesNotDrawTheLoad(t *testing.T) {
 	const from, to, away = 2 * time.Second, 9 * time.Second, 2
-	sc := busy()
+	sc := busyScenario()
 	sc.seed, sc.length, sc.callers, sc.paths = 1, 12*time.Second, 24, []string{"/again/x", "/once/x", "/stream/x"}
-	sc.operate = resting(alone(away), 0, from, to)
+	sc.operator = rejectBetween(plainTargets(away), 0, from, to)
 	sc.run(t, func(s *local.System, h *history) {
-		turned, start := 0, h.asked[0].at
-		for _, x := range alone(away)(s) {
+		turned, start := 0, h.exchanges[0].sentAt
+		for _, x := range plainTargets(away)(s) {
 			turned += len(x.Turned())
 		}
 		asked, refused := 0, 0
-		for _, a := range h.asked {
-			if at := a.at.Sub(start); at < from || at > to {
+		for _, a := range h.exchanges {
+			if at := a.sentAt.Sub(start); at < from || at > to {
 				continue
 			}
 			asked++
@@ -191,18 +191,18 @@
 func TestATargetThatSaysItIsLeavingGetsNoNewWork(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		also []trouble
+		also []faultSpec
 	}{
 		{"the list says that it is ready", nil},
-		{"and says so again", []trouble{{kind: "list again", at: 5 * time.Second, last: 2 * time.Second}}},
-		{"it turns requests away", []trouble{{kind: "target full", at: 4 * time.Second, last: 2 * time.Second}}},
-		{"it fails", []trouble{{kind: "target fails", at: 3 * time.Second, last: 4 * time.Second}}},
-		{"the store is away", []trouble{{kind: "store silent", at: time.Second, last: 10 * time.Second}}},
+		{"and says so again", []faultSpec{{kind: "list again", at: 5 * time.Second, lasts: 2 * time.Second}}},
+		{"it turns requests away", []faultSpec{{kind: "target full", at: 4 * time.Second, lasts: 2 * time.Second}}},
+		{"it fails", []faultSpec{{kind: "target fails", at: 3 * time.Second, lasts: 4 * time.Second}}},
+		{"the store is away", []faultSpec{{kind: "store silent", at: time.Second, lasts: 10 * time.Second}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			sc := busy()
-			sc.seed, sc.troubles, sc.paths, sc.length = 1, tc.also, []string{"/again/x", "/once/x", "/stream/x"}, 14*time.Second
-			sc.operate = func(s *local.System, _ *history) {
+			sc := busyScenario()
+			sc.seed, sc.faults, sc.paths, sc.length = 1, tc.also, []string{"/again/x", "/once/x", "/stream/x"}, 14*time.Second
+			sc.operator = func(s *local.System, _ *history) {
 				time.Sleep(3 * time.Second)
 				s.Targets()[0].Target().Behave(func(h *standin.Habits) { h.Leaving = true })
 			}
@@ -227,20 +227,20 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var from time.Time
 			var leaver string
-			sc := busy()
+			sc := busyScenario()
 			sc.seed, sc.callers = 1, 0
-			sc.operate = func(s *local.System, h *history) {
+			sc.operator = func(s *local.System, h *history) {
 				s.Store.SetTrouble(standin.Silent, 0)
 				x := tc.leave(s)
 				x.Behave(func(h *standin.Habits) { h.Leaving = true })
 				leaver = x.ID()
 				for range tc.first {
-					sc.ask(s, h, entry(s, 0), tc.path)
+					sc.send(s, h, entry(s, 0), tc.path)
 				}
 				time.Sleep(bounds().Drain.Std())
 				from = time.Now()
 				for i := range 200 {
-					sc.ask(s, h, entry(s, i), tc.path)
+					sc.send(s, h, entry(s, i), tc.path)
 				}
 			}
 			sc.run(t, func(s *local.System, h *history) {
@@ -257,8 +257,8 @@
 				if late > 0 {
 					t.Errorf("%d requests reached a target that had been leaving for %v", late, bounds().Drain.Std())
 				}
-				if tc.first > 0 && before == 0 || h.right() < 200 {
-					t.Errorf("it had %d requests before, %d were served: the run shows nothing", before, h.right())
+				if tc.first > 0 && before == 0 || h.served() < 200 {
+					t.Errorf("it had %d requests before, %d were served: the run shows nothing", before, h.served())
 				}
 			})
 		})
@@ -269,29 +269,29 @@
 // the target, which has been leaving since three seconds after the start.
 func checkLeaver(t *testing.T, s *local.System, h *history, leaver domain.InstanceID) {
 	t.Helper()
-	byID := map[string]asked{}
-	start := h.asked[0].at
-	for _, a := range h.asked {
+	byID := map[string]exchange{}
+	start := h.exchanges[0].sentAt
+	for _, a := range h.exchanges {
 		byID[a.request.ID] = a
-		if a.at.Before(start) {
-			start = a.at
+		if a.sentAt.Before(start) {
+			start = a.sentAt
 		}
 	}
 	passed := map[string]time.Time{} // by box: when it first passed on an answer that reported it
-	var at []asked
+	var at []exchange
 	for _, r := range s.Runs() {
 		a, known := byID[r.ID]
 		if !known || domain.InstanceID(r.Target) != leaver || r.At.Sub(start) < 3100*time.Millisecond {
 			continue
 		}
 		at = append(at, a)
-		if first, ok := passed[a.box]; a.reply.Status != 0 && (!ok || a.done.Before(first)) {
-			passed[a.box] = a.done
+		if first, ok := passed[a.box]; a.reply.Status != 0 && (!ok || a.repliedAt.Before(first)) {
+			passed[a.box] = a.repliedAt
 		}
 	}
 	late := 0
 	for _, a := range at {
-		if first, ok := passed[a.box]; ok && a.at.Sub(first) > bounds().Drain.Std() {
+		if first, ok := passed[a.box]; ok && a.sentAt.Sub(first) > bounds().Drain.Std() {
 			late++
 		}
 	}
--- a/local/restart_test.go
+++ b/local/restart_test.go
@@ -16,9 +16,9 @@
 func TestABoxThatStartsAgainServesAtOnce(t *testing.T) {
 	const restarts, soon = 6, 40 * time.Millisecond
 	var got []int
-	sc := busy()
+	sc := busyScenario()
 	sc.seed = 1
-	sc.operate = func(s *local.System, _ *history) {
+	sc.operator = func(s *local.System, _ *history) {
 		time.Sleep(3 * time.Second)
 		box := s.Entries()[0]
 		for i := range restarts {
@@ -27,7 +27,7 @@
 				t.Error(err)
 			}
 			time.Sleep(soon)
-			q := standin.Request{ID: fmt.Sprintf("again-%d", i), Path: "/again/x", Key: key, Within: time.Second}
+			q := standin.Request{ID: fmt.Sprintf("again-%d", i), Path: "/again/x", Key: apiKey, Within: time.Second}
 			got = append(got, s.SendRequest(context.Background(), box, q).Status)
 			time.Sleep(time.Second)
 		}
@@ -64,9 +64,9 @@
 			return nil
 		},
 	}
-	sc := busy()
+	sc := busyScenario()
 	sc.seed = 1
-	sc.operate = func(s *local.System, _ *history) {
+	sc.operator = func(s *local.System, _ *history) {
 		time.Sleep(3 * time.Second)
 		box := s.Entries()[0]
 		for _, name := range []string{"killed", "cut from the store", "back at the store"} {
@@ -79,7 +79,7 @@
 			var wg sync.WaitGroup
 			for i := range callers {
 				wg.Go(func() {
-					q := standin.Request{ID: fmt.Sprintf("%s-%d", name, i), Path: "/again/x", Key: key, Within: within}
+					q := standin.Request{ID: fmt.Sprintf("%s-%d", name, i), Path: "/again/x", Key: apiKey, Within: within}
 					if got := s.SendRequest(context.Background(), box, q); got.Status == 0 {
 						t.Errorf("%s: caller %d got no answer: %v", name, i, got.Err)
 					}
--- a/local/restore_test.go
+++ b/local/restore_test.go
@@ -10,19 +10,19 @@
 	"clovertrail.dev/platform/standin"
 )
 
-// restore is one way in which the store comes back from an older copy.
-type restore struct {
-	name   string
-	lost   int           // versions acknowledged after the copy was taken
-	away   time.Duration // of the store, before it comes back
-	later  int           // changes after the restore and before the one that is judged
-	times  int           // restores in a row; 0 for one
-	header func(era uint64) []string
-	boxes  int  // 0 for the usual few
-	held   bool // watches of the configuration go silent as the store is restored
-	alone  bool // the boxes of one hall reach the store, those of the other only these
-	starts bool // a box is killed as the store comes back, and starts again
-	others bool // a target is listed over and over, so that revisions pass those of before at once
+// restoreCase is one way in which the store comes back from an older copy.
+type restoreCase struct {
+	name          string
+	lostVersions  int           // versions acknowledged after the copy was taken
+	outage        time.Duration // of the store, before it comes back
+	laterChanges  int           // changes after the restore and before the one that is judged
+	times         int           // restores in a row; 0 for one
+	header        func(era uint64) []string
+	boxes         int  // 0 for the usual few
+	silentWatches bool // watches of the configuration go silent as the store is restored
+	hallIsolated  bool // the boxes of one hall reach the store, those of the other only these
+	restartsBox   bool // a box is killed as the store comes back, and starts again
+	relists       bool // a target is listed over and over, so that revisions pass those of before at once
 }
 
 func evenEras(era uint64) []string {
@@ -42,41 +42,41 @@
 	}
 }
 
-var restores = []restore{
-	{name: "one version lost", lost: 1, away: time.Second},
-	{name: "eight versions lost", lost: 8, away: 2500 * time.Millisecond},
-	{name: "nothing lost", away: time.Second},
-	{name: "without an outage", lost: 4},
-	{name: "revisions have passed those of before", lost: 3, others: true},
-	{name: "the change that is judged passes the revisions of before", lost: 3, later: 3, away: time.Second},
-	{name: "twice in a row", lost: 5, times: 2, away: time.Second},
-	{name: "three times, each without an outage", lost: 3, times: 3},
-	{name: "answers never state the era", lost: 6, away: time.Second, header: func(uint64) []string { return nil }},
-	{name: "answers of the second era do not state it", lost: 6, away: time.Second, times: 2, header: func(era uint64) []string {
+var restoreCases = []restoreCase{
+	{name: "one version lost", lostVersions: 1, outage: time.Second},
+	{name: "eight versions lost", lostVersions: 8, outage: 2500 * time.Millisecond},
+	{name: "nothing lost", outage: time.Second},
+	{name: "without an outage", lostVersions: 4},
+	{name: "revisions have passed those of before", lostVersions: 3, relists: true},
+	{name: "the change that is judged passes the revisions of before", lostVersions: 3, laterChanges: 3, outage: time.Second},
+	{name: "twice in a row", lostVersions: 5, times: 2, outage: time.Second},
+	{name: "three times, each without an outage", lostVersions: 3, times: 3},
+	{name: "answers never state the era", lostVersions: 6, outage: time.Second, header: func(uint64) []string { return nil }},
+	{name: "answers of the second era do not state it", lostVersions: 6, outage: time.Second, times: 2, header: func(era uint64) []string {
 		if era == 2 {
 			return nil
 		}
 		return []string{fmt.Sprint(era)}
 	}},
-	{name: "eras that are no numbers", lost: 6, away: time.Second, header: func(era uint64) []string { return []string{fmt.Sprint("era ", era)} }},
-	{name: "only some eras are stated", lost: 6, away: time.Second, times: 2, header: evenEras},
-	{name: "one answer in a hundred states a damaged era", lost: 6, away: time.Second, header: damagedEras()},
-	{name: "half of the boxes are cut off from the store", lost: 6, away: time.Second, alone: true},
-	{name: "watches of the configuration go silent", lost: 6, held: true, boxes: 12},
-	{name: "forty boxes, in halls with hubs", lost: 6, away: time.Second, boxes: 40},
-	{name: "a box starts as the store comes back", lost: 6, away: time.Second, starts: true},
+	{name: "eras that are no numbers", lostVersions: 6, outage: time.Second, header: func(era uint64) []string { return []string{fmt.Sprint("era ", era)} }},
+	{name: "only some eras are stated", lostVersions: 6, outage: time.Second, times: 2, header: evenEras},
+	{name: "one answer in a hundred states a damaged era", lostVersions: 6, outage: time.Second, header: damagedEras()},
+	{name: "half of the boxes are cut off from the store", lostVersions: 6, outage: time.Second, hallIsolated: true},
+	{name: "watches of the configuration go silent", lostVersions: 6, silentWatches: true, boxes: 12},
+	{name: "forty boxes, in halls with hubs", lostVersions: 6, outage: time.Second, boxes: 40},
+	{name: "a box starts as the store comes back", lostVersions: 6, outage: time.Second, restartsBox: true},
 }
 
 // TestConfigurationIsInForceAfterARestore guards against acknowledged configurations that are
 // ignored, or reverted, because the store came back from an older copy and gives out again
 // revisions that boxes have seen, and against boxes that press the store with calls meanwhile.
 func TestConfigurationIsInForceAfterARestore(t *testing.T) {
-	for _, way := range restores {
+	for _, way := range restoreCases {
 		t.Run(way.name, func(t *testing.T) {
-			sc := busy()
-			sc.seed, sc.length, sc.operate, sc.entries = 1, 0, way.operate, way.boxes
+			sc := busyScenario()
+			sc.seed, sc.length, sc.operator, sc.entries = 1, 0, way.operate, way.boxes
 			sc.run(t, func(_ *local.System, h *history) {
-				for _, f := range h.faults {
+				for _, f := range h.violations {
 					t.Error(f)
 				}
 			})
@@ -84,23 +84,23 @@
 	}
 }
 
-// callsMost bounds the calls of a box within the bound of a configuration, with several changes,
+// maxCallsPerBox bounds the calls of a box within the bound of a configuration, with several changes,
 // refusals and listings in it. One that asks without a pause makes hundreds.
-const callsMost = 20
+const maxCallsPerBox = 20
 
-// storeTakes is how long an answer of the store takes.
-const storeTakes = 4 * time.Millisecond
+// storeDelay is how long an answer of the store takes.
+const storeDelay = 4 * time.Millisecond
 
-func (way restore) operate(s *local.System, h *history) {
-	s.Store.SetTrouble(standin.Sound, storeTakes)
+func (way restoreCase) operate(s *local.System, h *history) {
+	s.Store.SetTrouble(standin.Sound, storeDelay)
 	if way.header != nil {
 		s.Store.SetEraHeader(way.header)
 	}
-	if way.held {
+	if way.silentWatches {
 		s.Store.HoldWatches("config")
 	}
 	served := map[string]int{} // by life of a box
-	if way.alone {
+	if way.hallIsolated {
 		s.Network.SetLink(s.Halls()[1], local.StoreHall, local.Refused)
 		defer s.Network.SetLink(s.Halls()[1], local.StoreHall, local.Open)
 	}
@@ -109,16 +109,16 @@
 		way.restore(s, h, served)
 		before := s.Store.Calls()
 		version := way.configure(s, h)
-		for range way.later {
+		for range way.laterChanges {
 			version = way.configure(s, h)
 		}
 		time.Sleep(bounds().ConfigApply.Std())
-		if calls := s.Store.Calls() - before; calls > callsMost*len(s.Entries()) {
-			h.fault("%d calls to the store of %d boxes", calls, len(s.Entries()))
+		if calls := s.Store.Calls() - before; calls > maxCallsPerBox*len(s.Entries()) {
+			h.addViolation("%d calls to the store of %d boxes", calls, len(s.Entries()))
 		}
 		for _, e := range s.Entries() {
-			if r := (scenario{}).ask(s, h, e, standin.VersionPath(version)); !r.Right {
-				h.fault("%s answers %d on the route of version %d after the bound", e.Name(), r.Status, version)
+			if r := (scenario{}).send(s, h, e, standin.VersionPath(version)); !r.Right {
+				h.addViolation("%s answers %d on the route of version %d after the bound", e.Name(), r.Status, version)
 			}
 			served[e.StartID()] = version
 		}
@@ -126,10 +126,10 @@
 }
 
 // restore takes a copy of the store, lets it lose versions, and brings the copy back.
-func (way restore) restore(s *local.System, h *history, served map[string]int) {
+func (way restoreCase) restore(s *local.System, h *history, served map[string]int) {
 	held := s.Store.Copy()
 	version := 0
-	for range way.lost {
+	for range way.lostVersions {
 		version = way.configure(s, h)
 	}
 	time.Sleep(time.Second)
@@ -139,33 +139,33 @@
 		}
 	}
 	s.Store.SetTrouble(standin.Silent, 0)
-	time.Sleep(way.away)
-	if way.starts {
+	time.Sleep(way.outage)
+	if way.restartsBox {
 		e := s.Entries()[0]
 		e.Kill()
 		_ = e.Start() // it does not run, so that it can be started
 	}
 	s.Store.Restore(held)
-	for range 2 * way.lost {
-		if way.others {
+	for range 2 * way.lostVersions {
+		if way.relists {
 			_ = s.Targets()[0].Relist() // an object of the test's own, which the store takes
 		}
 	}
-	s.Store.SetTrouble(standin.Sound, storeTakes)
-	time.Sleep(way.away)
+	s.Store.SetTrouble(standin.Sound, storeDelay)
+	time.Sleep(way.outage)
 	for _, e := range s.Entries() {
 		before := served[e.StartID()]
-		if before > 0 && !(scenario{}).ask(s, h, e, standin.VersionPath(before)).Right {
-			h.fault("%s served version %d and does not know its route after the restore", e.Name(), before)
+		if before > 0 && !(scenario{}).send(s, h, e, standin.VersionPath(before)).Right {
+			h.addViolation("%s served version %d and does not know its route after the restore", e.Name(), before)
 		}
 	}
 }
 
 // configure writes the next version and gives boxes a moment to take it.
-func (way restore) configure(s *local.System, h *history) int {
+func (way restoreCase) configure(s *local.System, h *history) int {
 	version, err := s.Configure()
 	if err != nil {
-		h.fault("%v", err)
+		h.addViolation("%v", err)
 	}
 	time.Sleep(100 * time.Millisecond)
 	return version
@@ -203,10 +203,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var left, restored time.Time
-			sc := busy()
+			sc := busyScenario()
 			sc.paths, sc.length, sc.seed = []string{"/again/x", "/once/x"}, 16*time.Second, 1
-			sc.operate = func(s *local.System, _ *history) {
-				s.Store.SetTrouble(standin.Sound, storeTakes)
+			sc.operator = func(s *local.System, _ *history) {
+				s.Store.SetTrouble(standin.Sound, storeDelay)
 				if tc.cut {
 					s.Network.SetLink(s.Halls()[1], local.StoreHall, local.Refused)
 				}
@@ -215,14 +215,14 @@
 				tc.before(s)
 				left = time.Now()
 				time.Sleep(2 * time.Second)
-				s.Store.SetTrouble(standin.Busy, storeTakes)
+				s.Store.SetTrouble(standin.Busy, storeDelay)
 				time.Sleep(time.Second)
 				s.Store.Restore(held)
 				tc.at(s)
 				if !tc.left {
 					left = time.Now()
 				}
-				s.Store.SetTrouble(standin.Sound, storeTakes)
+				s.Store.SetTrouble(standin.Sound, storeDelay)
 				restored = time.Now()
 				time.Sleep(time.Second)
 				tc.later(s)
@@ -269,16 +269,16 @@
 		{"twice", false, 2, false}, {"halls are cut from each other", false, 1, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			sc := busy()
-			sc.seed, sc.length, sc.paths, sc.fatal = 1, 24*time.Second, []string{"/again/y"}, fatal
-			sc.operate = func(s *local.System, h *history) {
-				s.Store.SetTrouble(standin.Sound, storeTakes)
+			sc := busyScenario()
+			sc.seed, sc.length, sc.paths, sc.fatalBody = 1, 24*time.Second, []string{"/again/y"}, fatalText
+			sc.operator = func(s *local.System, h *history) {
+				s.Store.SetTrouble(standin.Sound, storeDelay)
 				held := s.Store.Copy()
 				e := entry(s, 0)
-				s.SendRequest(context.Background(), e, standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Within: 2 * time.Second})
+				s.SendRequest(context.Background(), e, standin.Request{ID: h.nextID(), Path: "/again/x", Key: apiKey, Body: fatalText, Within: 2 * time.Second})
 				time.Sleep(2 * time.Second)
 				if len(s.Store.Names("quarantine")) == 0 {
-					h.fault("nothing was kept, so the test shows nothing")
+					h.addViolation("nothing was kept, so the test shows nothing")
 				}
 				if tc.kills {
 					e.Kill()
@@ -292,25 +292,25 @@
 					before := s.Store.Calls()
 					time.Sleep(time.Second)
 					if calls := s.Store.Calls() - before; calls > 20*len(s.Entries()) {
-						h.fault("%d calls of %d boxes in the first second", calls, len(s.Entries()))
+						h.addViolation("%d calls of %d boxes in the first second", calls, len(s.Entries()))
 					}
 				}
 				time.Sleep(8 * time.Second)
 				if len(s.Store.Names("quarantine")) == 0 {
-					h.fault("the quarantine was not written again")
+					h.addViolation("the quarantine was not written again")
 				}
 				killAll(s)
 				time.Sleep(3 * time.Second)
 				before := len(s.Runs())
-				s.SendRequest(context.Background(), entry(s, 1), standin.Request{ID: h.id(), Path: "/again/x", Key: key, Body: fatal, Within: 2 * time.Second})
+				s.SendRequest(context.Background(), entry(s, 1), standin.Request{ID: h.nextID(), Path: "/again/x", Key: apiKey, Body: fatalText, Within: 2 * time.Second})
 				for _, r := range s.Runs()[before:] {
-					if r.Body == fatal {
-						h.fault("%s ran it again", r.Target)
+					if r.Body == fatalText {
+						h.addViolation("%s ran it again", r.Target)
 					}
 				}
 			}
 			sc.run(t, func(_ *local.System, h *history) {
-				for _, f := range h.faults {
+				for _, f := range h.violations {
 					t.Error(f)
 				}
 			})
