--- a/local/invariant_test.go
+++ b/local/invariant_test.go
@@ -17,29 +17,29 @@
 
 func TestMain(m *testing.M) { testkit.Main(m, 8, 0) }
 
-// allPaths are the paths of every kind of route.
+// allPaths has a path of every kind of route.
 var allPaths = []string{"/once/x", "/again/x", "/stream/x", standin.GroupPath + "x", "/once/y"}
 
-// drawnKinds are what may be drawn.
+// drawnKinds are the kinds of faults that rapid draws from.
 var drawnKinds = []string{
 	"kill entry", "stop entry", "kill agent", "stop agent", "refuse link", "slow link", "silence link", "cut store", "silence store",
-	"store busy", "store silent", "store slow", "store forgets", "target full", "target fails", "target breaks", "answers lost", "slow rank", "late orders",
-	"target starts again",
+	"store busy", "store silent", "store slow", "compact store", "target full", "target fails", "break off streams", "drop answers", "slow rank", "late orders",
+	"restart target",
 }
 
-// busyScenario is a run in which most requests are under way when something goes wrong.
+// busyScenario returns a scenario in which most requests are in flight when a fault starts.
 func busyScenario() scenario {
 	return scenario{length: 12 * time.Second, callers: 8, paths: allPaths, events: 12, eventGap: 40 * time.Millisecond}
 }
 
-// namedScenarios are runs that provoke a failure surely.
+// namedScenarios are fixed combinations of faults, which each provoke one kind of failure.
 var namedScenarios = []scenario{
 	{name: "entry boxes die one after another", faults: []faultSpec{
 		{kind: "kill entry", at: 2 * time.Second, lasts: 2 * time.Second, index: 0},
 		{kind: "kill entry", at: 4 * time.Second, lasts: 6 * time.Second, index: 1},
 	}},
-	{name: "targets break off, fail and refuse", faults: []faultSpec{
-		{kind: "target breaks", at: time.Second, lasts: 3 * time.Second, index: 0},
+	{name: "targets break off streams, fail and reject", faults: []faultSpec{
+		{kind: "break off streams", at: time.Second, lasts: 3 * time.Second, index: 0},
 		{kind: "target fails", at: 2 * time.Second, lasts: 6 * time.Second, index: 1},
 		{kind: "target full", at: 3 * time.Second, lasts: 4 * time.Second, index: 2},
 	}},
@@ -49,21 +49,21 @@
 		{kind: "target full", at: time.Second, lasts: 9 * time.Second, index: 2},
 		{kind: "target full", at: time.Second, lasts: 9 * time.Second, index: 3},
 	}},
-	{name: "targets start again under their ids", faults: []faultSpec{
-		{kind: "answers lost", at: time.Second, lasts: 8 * time.Second, index: 1},
-		{kind: "target starts again", at: 2 * time.Second, lasts: 700 * time.Millisecond, index: 0},
-		{kind: "target starts again", at: 3 * time.Second, lasts: 4 * time.Second, index: 1},
-		{kind: "target starts again", at: 3 * time.Second, lasts: 20 * time.Millisecond, index: 2},
+	{name: "targets restart under their ids", faults: []faultSpec{
+		{kind: "drop answers", at: time.Second, lasts: 8 * time.Second, index: 1},
+		{kind: "restart target", at: 2 * time.Second, lasts: 700 * time.Millisecond, index: 0},
+		{kind: "restart target", at: 3 * time.Second, lasts: 4 * time.Second, index: 1},
+		{kind: "restart target", at: 3 * time.Second, lasts: 20 * time.Millisecond, index: 2},
 	}},
-	{name: "answers are lost", faults: []faultSpec{
-		{kind: "answers lost", at: time.Second, lasts: 5 * time.Second, index: 0},
-		{kind: "answers lost", at: 2 * time.Second, lasts: 5 * time.Second, index: 3},
+	{name: "targets drop answers", faults: []faultSpec{
+		{kind: "drop answers", at: time.Second, lasts: 5 * time.Second, index: 0},
+		{kind: "drop answers", at: 2 * time.Second, lasts: 5 * time.Second, index: 3},
 	}},
 	{name: "a rank carries orders out late", faults: []faultSpec{
 		{kind: "late orders", at: time.Second, lasts: 10 * time.Second, index: 2},
 		{kind: "kill agent", at: 4 * time.Second, lasts: time.Second, index: 0},
 	}},
-	{name: "halls learn the configuration late and from each other", faults: []faultSpec{
+	{name: "halls receive the configuration late and from each other", faults: []faultSpec{
 		{kind: "slow link", at: 0, lasts: 9 * time.Second},
 		{kind: "silence store", at: time.Second, lasts: 1300 * time.Millisecond, index: 0},
 		{kind: "silence store", at: 3 * time.Second, lasts: 1300 * time.Millisecond, index: 1},
@@ -74,7 +74,7 @@
 		{kind: "kill agent", at: 3 * time.Second, lasts: time.Second, index: 0},
 		{kind: "kill agent", at: 6 * time.Second, lasts: time.Second, index: 1},
 	}},
-	{name: "halls lose each other for moments", faults: []faultSpec{
+	{name: "links between halls fail for moments", faults: []faultSpec{
 		{kind: "refuse link", at: 2 * time.Second, lasts: 50 * time.Millisecond},
 		{kind: "refuse link", at: 4 * time.Second, lasts: 300 * time.Millisecond},
 		{kind: "silence link", at: 6 * time.Second, lasts: 3 * time.Second},
@@ -85,7 +85,7 @@
 		{kind: "kill agent", at: 4 * time.Second, lasts: 2 * time.Second, index: 1},
 		{kind: "slow rank", at: 6 * time.Second, lasts: 3 * time.Second, index: 2},
 	}},
-	{name: "the store is away while a box starts", faults: []faultSpec{
+	{name: "the store is unavailable while a box starts", faults: []faultSpec{
 		{kind: "store silent", at: 2 * time.Second, lasts: 6 * time.Second},
 		{kind: "kill entry", at: 3 * time.Second, lasts: time.Second, index: 2},
 	}},
@@ -104,12 +104,13 @@
 	return list
 }
 
-// reporter is what rapid and testing have in common here.
+// reporter is the part of testing.T and rapid.T that the checks use.
 type reporter interface {
 	Errorf(format string, args ...any)
 }
 
-// checkInvariant runs the named scenarios and drawn ones with the load of sc.
+// checkInvariant runs the load of sc with the faults of each named scenario and with drawn faults,
+// and checks each run.
 func checkInvariant(t *testing.T, sc scenario, check func(reporter, *local.System, *history)) {
 	for _, n := range namedScenarios {
 		t.Run(n.name, func(t *testing.T) {
@@ -132,7 +133,7 @@
 		t.Errorf("%s", f)
 	}
 	if h.served() == 0 {
-		t.Errorf("nothing was served, so the run shows nothing")
+		t.Errorf("no request was served, so the run tests nothing")
 	}
 	check(t, s, h)
 }
@@ -147,7 +148,7 @@
 	})
 }
 
-// runCounts counts how often each request was begun.
+// runCounts returns how many times targets began to run each request, by its ID.
 func runCounts(s *local.System) map[string]int {
 	n := map[string]int{}
 	for _, r := range s.Runs() {
@@ -161,7 +162,7 @@
 		ran := runCounts(s)
 		for _, a := range h.exchanges {
 			if a.reply.NotRun() && ran[a.request.ID] > 0 {
-				t.Errorf("%s on %s was answered %d, not run, and ran", a.request.ID, a.request.Path, a.reply.Status)
+				t.Errorf("%s on %s got status %d, which promises that it did not run, but a target ran it", a.request.ID, a.request.Path, a.reply.Status)
 			}
 		}
 	})
@@ -174,20 +175,20 @@
 		ran := runCounts(s)
 		for _, a := range h.exchanges {
 			if strings.HasPrefix(a.request.Path, "/once/") && ran[a.request.ID] > 1 {
-				t.Errorf("%s ran %d times", a.request.ID, ran[a.request.ID])
+				t.Errorf("%s must run at most once, but ran %d times", a.request.ID, ran[a.request.ID])
 			}
 		}
 	})
 }
 
-// checkMaps: the group never stepped on two maps, and changed some.
+// checkMaps checks that no step of the group ran on two maps, and that maps were changed at all.
 func checkMaps(t reporter, s *local.System, _ *history) {
 	f := s.Group().Figures()
 	if f.Broken != "" {
 		t.Errorf("%s", f.Broken)
 	}
 	if f.Copies == 0 {
-		t.Errorf("no map was changed in %d steps, so the run shows nothing", f.Steps)
+		t.Errorf("no map was changed in %d steps, so the run tests nothing", f.Steps)
 	}
 }
 
@@ -197,7 +198,7 @@
 	checkInvariant(t, sc, checkMaps)
 }
 
-// logBuffer keeps what all processes log.
+// logBuffer keeps the log lines of all processes.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -215,7 +216,7 @@
 	return bytes.Count(l.text.Bytes(), []byte(part))
 }
 
-// countLines counts the lines that have all the parts.
+// countLines returns the number of lines that contain all the parts.
 func (l *logBuffer) countLines(parts ...string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -228,9 +229,9 @@
 	return n
 }
 
-// TestInvariantSingleMapThroughRelays: nine ranks behind links so narrow that they are read
-// and told through relays, while agents die, relays among them, and links and the store
-// fail.
+// TestInvariantSingleMapThroughRelays runs nine ranks behind links so slow that the coordinator
+// reads them and sends them orders through relays, while agents die, relays among them, and links
+// and the store fail.
 func TestInvariantSingleMapThroughRelays(t *testing.T) {
 	sc := busyScenario()
 	sc.paths, sc.ranks, sc.linkMbps = []string{standin.GroupPath + "x"}, 9, 0.15
@@ -238,31 +239,31 @@
 	sc.log = seen
 	checkInvariant(t, sc, checkMaps)
 	if seen.count("relays=2") == 0 {
-		t.Error("no coordinator used relays")
+		t.Error("no coordinator used two relays, so the run tests nothing")
 	}
 }
 
 func TestInvariantDraining(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		leave func(*local.System) // makes target 0 leave, which goes on serving
-		also  []faultSpec
+		name   string
+		leave  func(*local.System) // makes target 0 leave, which continues to serve
+		faults []faultSpec
 	}{
-		{"it says that it is leaving", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() }, nil},
-		{"its entry goes without a word", func(s *local.System) { s.Targets()[0].Unlist() }, nil},
-		{"one hall is turned away by the store", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() },
+		{"its entry says that it is leaving", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() }, nil},
+		{"its entry is removed without notice", func(s *local.System) { s.Targets()[0].Unlist() }, nil},
+		{"the store refuses connections of one hall", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() },
 			[]faultSpec{{kind: "cut store", at: time.Second, lasts: 15 * time.Second}}},
 		{"the store answers slowly", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() },
 			[]faultSpec{{kind: "store slow", at: time.Second, lasts: 15 * time.Second}}},
-		{"the store forgets its history", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() },
-			[]faultSpec{{kind: "store forgets", at: 2900 * time.Millisecond, lasts: 50 * time.Millisecond}}},
-		{"a box dies in the moment", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() },
+		{"the store compacts its history", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() },
+			[]faultSpec{{kind: "compact store", at: 2900 * time.Millisecond, lasts: 50 * time.Millisecond}}},
+		{"a box dies at the same time", func(s *local.System) { _ = s.Targets()[0].MarkLeaving() },
 			[]faultSpec{{kind: "kill entry", at: 2990 * time.Millisecond, lasts: 200 * time.Millisecond, index: 1}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var left time.Time
 			sc := busyScenario()
-			sc.faults, sc.paths, sc.length = tc.also, []string{"/again/x", "/once/x"}, 16*time.Second
+			sc.faults, sc.paths, sc.length = tc.faults, []string{"/again/x", "/once/x"}, 16*time.Second
 			sc.operator = func(s *local.System, _ *history) {
 				time.Sleep(3 * time.Second)
 				tc.leave(s)
@@ -276,11 +277,11 @@
 					case late < 0:
 						before++
 					case late > bounds().Drain.Std():
-						t.Errorf("%s began %v after the target was leaving", r.ID, late)
+						t.Errorf("%s began to run %v after the target started to leave", r.ID, late)
 					}
 				}
 				if before == 0 {
-					t.Error("the target never had work, so the test shows nothing")
+					t.Error("the target ran nothing before it left, so the run tests nothing")
 				}
 			})
 		})
@@ -289,8 +290,8 @@
 
 func TestInvariantGracefulShutdown(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		troubles []faultSpec
+		name   string
+		faults []faultSpec
 	}{
 		// Callers begin their second streams about 4 s after the start.
 		{"a box stops", []faultSpec{{kind: "stop entry", at: 4300 * time.Millisecond, lasts: time.Second, index: 1}}},
@@ -299,7 +300,7 @@
 			{kind: "stop entry", at: 4300 * time.Millisecond, lasts: time.Second, index: 1},
 			{kind: "stop entry", at: 4800 * time.Millisecond, lasts: time.Second, index: 2},
 		}},
-		{"a box stops while the store is away", []faultSpec{
+		{"a box stops while the store is unavailable", []faultSpec{
 			{kind: "store silent", at: time.Second, lasts: 10 * time.Second},
 			{kind: "stop entry", at: 4300 * time.Millisecond, lasts: time.Second, index: 3},
 		}},
@@ -311,14 +312,14 @@
 		t.Run(tc.name, func(t *testing.T) {
 			sc := busyScenario()
 			sc.callers = 40
-			sc.faults, sc.events, sc.eventGap = tc.troubles, 37, 100*time.Millisecond // streams of 3.7 s, the longest that their route allows
+			sc.faults, sc.events, sc.eventGap = tc.faults, 37, 100*time.Millisecond // streams of 3.7 s, the longest that their route allows
 			sc.run(t, func(_ *local.System, h *history) {
 				if h.served() < sc.callers {
-					t.Errorf("only %d answers came", h.served())
+					t.Errorf("only %d requests were served, fewer than there are callers", h.served())
 				}
 				for _, a := range h.exchanges {
 					if !a.reply.Right && !a.reply.Refused() {
-						t.Errorf("%s on %s by %s ended with %d, %s, %v", a.request.ID, a.request.Path, a.box, a.reply.Status, a.reply.Wrong, a.reply.Err)
+						t.Errorf("%s on %s through %s was neither served nor refused: status %d, wrong: %q, error: %v", a.request.ID, a.request.Path, a.box, a.reply.Status, a.reply.Wrong, a.reply.Err)
 					}
 				}
 			})
@@ -339,10 +340,10 @@
 	})
 }
 
-// configureAndProbe changes the configuration over and over and looks that no life of a
-// box goes back behind a version that it has served.
+// configureAndProbe changes the configuration repeatedly and checks that no box, between one start
+// and the next, goes back to a version older than one that it has served.
 func configureAndProbe(s *local.System, h *history) {
-	served := map[string]int{} // by box
+	served := map[string]int{} // highest version, by StartID of the box
 	for range 20 {
 		version, err := s.Configure()
 		if err != nil {
@@ -355,22 +356,22 @@
 	}
 }
 
-// probeVersions asks for the route that the newest version brought, and for the newest one that
-// this life of the box is known to have served.
+// probeVersions requests the route that the newest version added, and the route of the highest
+// version that the box is known to have served since its start.
 func probeVersions(s *local.System, h *history, e *local.EntryBox, served map[string]int, version int) {
-	life := e.StartID()
-	ask := func(v int) standin.Reply {
+	start := e.StartID()
+	request := func(v int) standin.Reply {
 		return scenario{timeout: time.Second}.send(s, h, e, standin.VersionPath(v))
 	}
-	if ask(version).Right {
-		served[life] = max(served[life], version)
+	if request(version).Right {
+		served[start] = max(served[start], version)
 	}
-	if before := served[life]; before > 0 && before < version && ask(before).Status == 404 && e.StartID() == life {
-		h.addViolation("%s served version %d and then knew no such route", life, before)
+	if before := served[start]; before > 0 && before < version && request(before).Status == 404 && e.StartID() == start {
+		h.addViolation("%s served the route of version %d and later answered 404 on it", start, before)
 	}
 }
 
-// checkApplyTime: with nothing wrong, each version is in force within the bound.
+// checkApplyTime checks that without faults each version is in force within bounds().ConfigApply.
 func checkApplyTime(s *local.System, h *history) {
 	for range 5 {
 		version, err := s.Configure()
@@ -380,7 +381,7 @@
 		time.Sleep(bounds().ConfigApply.Std())
 		for _, e := range s.Entries() {
 			if r := (scenario{}).send(s, h, e, standin.VersionPath(version)); !r.Right {
-				h.addViolation("%s answers %d on the route of version %d after the bound", e.Name(), r.Status, version)
+				h.addViolation("%s answers %d on the route of version %d after the bound on applying it", e.Name(), r.Status, version)
 			}
 		}
 	}
--- a/local/limit_test.go
+++ b/local/limit_test.go
@@ -108,7 +108,7 @@
 		{"less than a request a box", plainTargets(2), 0.4, 0.6, scenario{entries: 12}, nil},
 		{"many boxes, all of a service", plainTargets(4), 2, 0.8, scenario{entries: 24, callers: 40}, nil},
 		{"streams that may be taken up elsewhere", plainTargets(2), 1.5, 0.8, scenario{paths: []string{"/stream/x"}}, []faultSpec{
-			{kind: "target breaks", at: time.Second, lasts: 14 * time.Second, index: 3}}},
+			{kind: "break off streams", at: time.Second, lasts: 14 * time.Second, index: 3}}},
 		{"the others fail", plainTargets(2), 1.5, 0.8, scenario{}, []faultSpec{
 			{kind: "target fails", at: 3 * time.Second, lasts: 12 * time.Second, index: 2},
 			{kind: "target fails", at: 4 * time.Second, lasts: 11 * time.Second, index: 3}}},
--- a/local/rest_test.go
+++ b/local/rest_test.go
@@ -97,7 +97,7 @@
 		{"half of them", plainTargets(2), allPaths, nil},
 		{"all of a service", plainTargets(4), allPaths, nil},
 		{"a rank of a group", rankTargets(1), []string{standin.GroupPath + "x", "/again/x"}, nil},
-		{"streams that may be taken up elsewhere", plainTargets(2), []string{"/stream/x"}, []faultSpec{{kind: "target breaks", at: time.Second, lasts: 9 * time.Second, index: 3}}},
+		{"streams that may be taken up elsewhere", plainTargets(2), []string{"/stream/x"}, []faultSpec{{kind: "break off streams", at: time.Second, lasts: 9 * time.Second, index: 3}}},
 		{"the store is away", plainTargets(2), allPaths, []faultSpec{{kind: "store silent", at: time.Second, lasts: 10 * time.Second}}},
 		{"links are slow", plainTargets(2), allPaths, []faultSpec{{kind: "slow link", at: time.Second, lasts: 10 * time.Second}}},
 	} {
@@ -194,7 +194,7 @@
 		also []faultSpec
 	}{
 		{"the list says that it is ready", nil},
-		{"and says so again", []faultSpec{{kind: "list again", at: 5 * time.Second, lasts: 2 * time.Second}}},
+		{"and says so again", []faultSpec{{kind: "relist target", at: 5 * time.Second, lasts: 2 * time.Second}}},
 		{"it turns requests away", []faultSpec{{kind: "target full", at: 4 * time.Second, lasts: 2 * time.Second}}},
 		{"it fails", []faultSpec{{kind: "target fails", at: 3 * time.Second, lasts: 4 * time.Second}}},
 		{"the store is away", []faultSpec{{kind: "store silent", at: time.Second, lasts: 10 * time.Second}}},
--- a/local/restart_test.go
+++ b/local/restart_test.go
@@ -11,11 +11,12 @@
 	"clovertrail.dev/platform/standin"
 )
 
-// TestABoxThatStartsAgainServesAtOnce: callers wait for it. The store answers in
-// milliseconds, so it must not wait for other boxes to tell it what the store holds.
-func TestABoxThatStartsAgainServesAtOnce(t *testing.T) {
+// TestRestartedEntryServesImmediately guards against an entry box that keeps callers waiting after
+// a restart. The store answers within milliseconds, so the box must not wait for other boxes to send
+// it the contents of the store.
+func TestRestartedEntryServesImmediately(t *testing.T) {
 	const restarts, soon = 6, 40 * time.Millisecond
-	var got []int
+	var statuses []int
 	sc := busyScenario()
 	sc.seed = 1
 	sc.operator = func(s *local.System, _ *history) {
@@ -28,38 +29,39 @@
 			}
 			time.Sleep(soon)
 			q := standin.Request{ID: fmt.Sprintf("again-%d", i), Path: "/again/x", Key: apiKey, Within: time.Second}
-			got = append(got, s.SendRequest(context.Background(), box, q).Status)
+			statuses = append(statuses, s.SendRequest(context.Background(), box, q).Status)
 			time.Sleep(time.Second)
 		}
 	}
 	sc.run(t, func(*local.System, *history) {
-		for i, status := range got {
+		for i, status := range statuses {
 			if status != 200 {
-				t.Errorf("%v after start %d a caller got %d", soon, i, status)
+				t.Errorf("%v after restart %d a caller got status %d, want 200", soon, i, status)
 			}
 		}
-		if len(got) != restarts {
-			t.Errorf("%d of %d restarts", len(got), restarts)
+		if len(statuses) != restarts {
+			t.Errorf("%d of %d restarts were made", len(statuses), restarts)
 		}
 	})
 }
 
-// TestAReadyBoxTakesManyCallersAtOnce: seven callers come on connections of their own as
-// soon as a box reports that it is ready, right after it was killed, after it was cut from the
-// store, and while it is. Each is answered within the time for which the platform waits.
-func TestAReadyBoxTakesManyCallersAtOnce(t *testing.T) {
+// TestReadyEntryAnswersConcurrentCallers sends requests of seven callers, each on a connection of
+// its own, as soon as a box reports that it is ready: right after it was killed and restarted, while
+// it is cut off from the store, and right after the store is reachable again. Each request must be
+// answered within the time for which the platform waits.
+func TestReadyEntryAnswersConcurrentCallers(t *testing.T) {
 	const callers, within = 7, 2 * time.Second
-	troubles := map[string]func(*local.System, *local.EntryBox) error{
+	faults := map[string]func(*local.System, *local.EntryBox) error{
 		"killed": func(_ *local.System, b *local.EntryBox) error {
 			b.Kill()
 			return b.Start()
 		},
-		"cut from the store": func(s *local.System, _ *local.EntryBox) error {
+		"cut off from the store": func(s *local.System, _ *local.EntryBox) error {
 			s.Network.SetLink(s.Halls()[0], local.StoreHall, local.Silent)
 			time.Sleep(3 * time.Second)
 			return nil
 		},
-		"back at the store": func(s *local.System, _ *local.EntryBox) error {
+		"store reachable again": func(s *local.System, _ *local.EntryBox) error {
 			s.Network.SetLink(s.Halls()[0], local.StoreHall, local.Open)
 			return nil
 		},
@@ -69,8 +71,8 @@
 	sc.operator = func(s *local.System, _ *history) {
 		time.Sleep(3 * time.Second)
 		box := s.Entries()[0]
-		for _, name := range []string{"killed", "cut from the store", "back at the store"} {
-			if err := troubles[name](s, box); err != nil {
+		for _, name := range []string{"killed", "cut off from the store", "store reachable again"} {
+			if err := faults[name](s, box); err != nil {
 				t.Error(err)
 			}
 			for !box.Ready(context.Background()) {
@@ -81,7 +83,7 @@
 				wg.Go(func() {
 					q := standin.Request{ID: fmt.Sprintf("%s-%d", name, i), Path: "/again/x", Key: apiKey, Within: within}
 					if got := s.SendRequest(context.Background(), box, q); got.Status == 0 {
-						t.Errorf("%s: caller %d got no answer: %v", name, i, got.Err)
+						t.Errorf("%s: caller %d got no answer in time: %v", name, i, got.Err)
 					}
 				})
 			}
--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -18,16 +18,16 @@
 	"clovertrail.dev/settings"
 )
 
-// apiKey is the apiKey of the one organisation.
+// apiKey is the API key of the only organisation.
 const apiKey = "k"
 
-// groupShape is a small groupShape of ranks whose demand jumps every few seconds.
+// groupShape is the shape of a small group of ranks. The demand moves to other experts every 3 s.
 var groupShape = standin.GroupShape{
 	Name: "g0", Ranks: 3, Layers: 2, Experts: 12, Places: 6, Staging: 2,
 	Step: 30 * time.Millisecond, Copy: 50 * time.Millisecond, Share: 0.85,
 	Demand: func(at time.Time, layer, expert int) float64 {
-		const experts, jump = 12, 3 * time.Second
-		hot := (int(at.UnixNano()/int64(jump)) + layer) % experts
+		const experts, shiftInterval = 12, 3 * time.Second
+		hot := (int(at.UnixNano()/int64(shiftInterval)) + layer) % experts
 		if expert == hot {
 			return 0.5
 		}
@@ -35,12 +35,13 @@
 	},
 }
 
-// faultSpec is something that goes wrong at a time and is mended after another.
+// faultSpec is a fault that starts at a time after the start of the run and ends after it lasted
+// for a time.
 type faultSpec struct {
-	kind  string // a key of troubles
+	kind  string // a key of faultKinds
 	at    time.Duration
 	lasts time.Duration
-	index int // which box or pair of halls
+	index int // of the box, agent, target, rank or pair of halls
 }
 
 // scenario is one run of the whole system in fake time.
@@ -48,38 +49,38 @@
 	name      string
 	length    time.Duration
 	callers   int
-	paths     []string // that callers ask for, by turns
+	paths     []string // requested by callers in turn
 	timeout   time.Duration
-	events    int // of a stream
+	events    int // number in a stream; 0 for the default
 	eventGap  time.Duration
 	faults    []faultSpec
 	seed      uint64
-	operator  func(*local.System, *history) // runs beside the callers
-	ranks     int                           // of the group; 0 for the usual few
-	halls     int                           // 0 for two
-	entries   int                           // 0 for four
-	targets   int                           // that stand alone; 0 for four
-	linkMbps  float64                       // of their boxes, in Mbit/s; 0 for plenty
-	log       io.Writer                     // takes the lines of all processes
-	fatalBody string                        // the body of requests that crash targets; empty for none
+	operator  func(*local.System, *history) // runs concurrently with the callers
+	ranks     int                           // number in the group; 0 for that of groupShape
+	halls     int                           // number of data halls; 0 for two
+	entries   int                           // number of entry boxes; 0 for four
+	targets   int                           // number of targets outside the group; 0 for four
+	linkMbps  float64                       // configured link rate of the ranks' boxes, in Mbit/s; 0 for 1000
+	log       io.Writer                     // receives the log lines of all processes
+	fatalBody string                        // the body of requests that crash targets; empty if no request does
 }
 
-// exchange is one request and its reply.
+// exchange is one request of a caller and its reply.
 type exchange struct {
 	request   standin.Request
 	box       string
 	sentAt    time.Time
 	reply     standin.Reply
-	repliedAt time.Time // when the caller had the reply
+	repliedAt time.Time // when the caller had received the reply
 }
 
-// history is what was seen in a run.
+// history records the requests of a run, and the violations found while it goes on.
 //
 // Lock order: mu is the only lock.
 type history struct {
 	mu         sync.Mutex
 	exchanges  []exchange
-	violations []string // violations found on the way
+	violations []string // descriptions
 	ids        int
 }
 
@@ -102,7 +103,7 @@
 	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-// served counts the requests that were served whole.
+// served returns the number of requests with a complete reply.
 func (h *history) served() int {
 	n := 0
 	for _, a := range h.exchanges {
@@ -113,10 +114,11 @@
 	return n
 }
 
-// faultKind is how a kind of trouble begins and ends.
+// faultKind starts and ends faults of one kind. The index chooses the box, target, rank or halls.
 type faultKind struct{ start, stop func(*local.System, int) }
 
-// A process that runs already is not started again, and in memory nothing can fail to.
+// faultKinds has the kinds of faults by name. The error of Start is ignored: a process that runs
+// already is not started again, and a start on a network in memory cannot fail.
 var faultKinds = map[string]faultKind{
 	"kill entry": {
 		func(s *local.System, i int) { entry(s, i).Kill() },
@@ -138,20 +140,20 @@
 	"store busy":    storeFault(standin.Busy, 0),
 	"store silent":  storeFault(standin.Silent, 0),
 	"store slow":    storeFault(standin.Sound, 300*time.Millisecond),
-	"store forgets": {
+	"compact store": {
 		func(s *local.System, _ int) { s.Store.Compact() },
 		func(s *local.System, _ int) { s.Store.Compact() }},
-	"target starts again": {
+	"restart target": {
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Restart() },
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Restart() }},
 	"target full": targetFault(func(h *standin.Habits, on bool) { h.Full = on }),
-	// As its entry may change for another reason: it is listed anew, and still as ready.
-	"list again": {
+	// The entry of a target may be written again for another reason while it is still ready.
+	"relist target": {
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Relist() },
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Relist() }},
-	"target fails":  targetFault(func(h *standin.Habits, on bool) { h.Fail = on }),
-	"answers lost":  targetFault(func(h *standin.Habits, on bool) { h.Drop = on }),
-	"target breaks": targetFault(func(h *standin.Habits, on bool) { h.BreakAt = map[bool]int{true: 3}[on] }),
+	"target fails":      targetFault(func(h *standin.Habits, on bool) { h.Fail = on }),
+	"drop answers":      targetFault(func(h *standin.Habits, on bool) { h.Drop = on }),
+	"break off streams": targetFault(func(h *standin.Habits, on bool) { h.BreakAt = map[bool]int{true: 3}[on] }),
 	"late orders": {
 		func(s *local.System, i int) { s.Group().Delay(i%groupShape.Ranks, 250*time.Millisecond) },
 		func(s *local.System, i int) { s.Group().Delay(i%groupShape.Ranks, 0) }},
@@ -201,7 +203,7 @@
 	}
 }
 
-// bounds are those of a platform of today.
+// bounds returns the bounds of a current platform.
 func bounds() process.Bounds {
 	b := process.DefaultBounds()
 	b.RetryShare, b.RetrySlack = 0.2, 90
@@ -209,7 +211,7 @@
 	return b
 }
 
-// run runs the scenario, then checks what was seen.
+// run runs the scenario, waits for settleTime, and then checks the system and the history.
 func (sc scenario) run(t *testing.T, check func(*local.System, *history)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -239,10 +241,10 @@
 	})
 }
 
-// settleTime is how long is waited for what may still run late.
+// settleTime is the wait after a scenario for requests that may still run late.
 const settleTime = 5 * time.Second
 
-// waitUntilServing waits until all boxes serve, and sets the targets' habits.
+// waitUntilServing sets the habits of the targets and waits until all boxes serve requests.
 func (sc scenario) waitUntilServing(t *testing.T, sys *local.System) {
 	for _, x := range sys.Targets() {
 		sc.setHabits(x.Target())
@@ -253,7 +255,7 @@
 	for _, e := range sys.Entries() {
 		for tries := 0; !sys.SendRequest(t.Context(), e, standin.Request{ID: "first", Path: "/again/x", Key: apiKey, Within: time.Second}).Right; tries++ {
 			if tries > 100 {
-				t.Fatalf("%s never serves", e.Name())
+				t.Fatalf("%s did not serve a request in %d tries", e.Name(), tries+1)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -272,7 +274,7 @@
 	})
 }
 
-// play lets callers, troubles and the operator go at once.
+// play runs the faults, the operator and the callers concurrently.
 func (sc scenario) play(sys *local.System, h *history) {
 	var wg sync.WaitGroup
 	for _, x := range sc.faults {
@@ -296,7 +298,7 @@
 	kind.stop(s, x.index)
 }
 
-// runCaller is one caller: it sends one request after another to boxes that run.
+// runCaller sends the requests of one caller, one after another, to random boxes that are ready.
 func (sc scenario) runCaller(sys *local.System, h *history, caller int, end time.Time) {
 	rnd := rand.New(rand.NewPCG(sc.seed, uint64(caller)))
 	for n := 0; time.Now().Before(end); n++ {
