--- a/local/fatal_test.go
+++ b/local/fatal_test.go
@@ -9,30 +9,31 @@
 	"clovertrail.dev/platform/standin"
 )
 
-// Targets of a fleet ended in pairs, a quarter of a second apart and in different groups, over
-// and over for a quarter of a minute, as soon as they were back. One request, which a caller
-// made again at other boxes, crashed each target that began to run it. A box sent it to a
-// second target because it may be repeated, and no box knew what others, or itself a moment
-// ago, had lost targets to: what is remembered of a request ended with each try of it. What
-// proved it: this test brings the pairs about, and they end with the memory.
+// The tests of this file guard against a request that crashes one target after another. In a
+// fleet, targets of different groups ended in pairs, a quarter of a second apart, repeatedly for 15 s
+// and as soon as they had restarted. One request, which a caller repeated at other boxes, crashed
+// each target that began to run it. A box sent it to a second target because it may be repeated, and
+// no box had a record of the targets that it or others had lost to it before: the state of a request
+// ended with each try. The tests reproduce the pairs of crashes, which stop once boxes keep such
+// records.
 
-// fatalText is the body of a request that crashes whatever runs it.
+// fatalText is the body of a request that crashes each target that runs it.
 const fatalText = "fatal"
 
-// quarantineGrace is how long boxes have to notify each other of a request under which
-// enough targets have ended.
+// quarantineGrace is how long boxes have to notify each other of a request after enough targets
+// have ended while they ran it.
 const quarantineGrace = 3 * time.Second
 
-// maxRunsAfterGrace is how many times such a request may reach targets after that.
+// maxRunsAfterGrace limits how many times targets may run such a request after quarantineGrace.
 const maxRunsAfterGrace = 3
 
-// fatalCaller are those of a caller who asks for the same over and over, at one box after another.
+// fatalCaller is a caller that sends the same fatal request repeatedly, to one box after another.
 type fatalCaller struct {
 	path        string
-	timeout     time.Duration                  // the caller leaves then
-	chooseBox   func(try int) int              // nil for one after another
-	beforeFirst func(s *local.System)          // happens before the first try; nil for nothing
-	afterEach   func(s *local.System, try int) // happens after each try; nil for nothing
+	timeout     time.Duration                  // of each try
+	chooseBox   func(try int) int              // index of the box for a try; nil for all boxes in turn
+	beforeFirst func(s *local.System)          // runs before the first try; may be nil
+	afterEach   func(s *local.System, try int) // runs after each try; may be nil
 }
 
 func (c fatalCaller) run(s *local.System, h *history) {
@@ -57,21 +58,21 @@
 	}
 }
 
-// crashAfter is how long a target runs such a request before it crashes.
+// crashAfter is how long a target runs a fatal request before it crashes.
 const crashAfter = 60 * time.Millisecond
 
-// killAll ends all entry boxes at once, and starts them again.
+// killAll kills all entry boxes and starts them again half a second later.
 func killAll(s *local.System) {
 	for _, e := range s.Entries() {
 		e.Kill()
 	}
 	time.Sleep(500 * time.Millisecond)
 	for _, e := range s.Entries() {
-		_ = e.Start() // in memory nothing can fail to
+		_ = e.Start() // cannot fail on a network in memory
 	}
 }
 
-// cutHalls cuts all halls from each other.
+// cutHalls silences the links between all halls.
 func cutHalls(s *local.System) {
 	halls := s.Halls()
 	for i := range halls {
@@ -81,65 +82,66 @@
 	}
 }
 
-// TestARequestThatCrashesTargetsIsNotSentOnForever: once three targets have ended under it
-// and boxes have had time to notify each other, it reaches targets three more times at the most.
-func TestARequestThatCrashesTargetsIsNotSentOnForever(t *testing.T) {
-	const patient = 2 * time.Second
+// TestQuarantineStopsCrashingRequests checks that a fatal request, once three targets have ended
+// while they ran it and boxes have had time to notify each other, reaches targets at most three more
+// times.
+func TestQuarantineStopsCrashingRequests(t *testing.T) {
+	const callerTimeout = 2 * time.Second
 	for _, tc := range []struct {
-		name  string
-		halls int // 0 for two
-		calls fatalCaller
+		name   string
+		halls  int // 0 for two
+		caller fatalCaller
 	}{
-		{"repeatable", 0, fatalCaller{path: "/again/x", timeout: patient}},
-		{"once only", 0, fatalCaller{path: "/once/x", timeout: patient}},
-		{"stream", 0, fatalCaller{path: "/stream/x", timeout: patient}},
-		{"all boxes die", 0, fatalCaller{path: "/again/x", timeout: patient, afterEach: func(s *local.System, try int) {
+		{"repeatable", 0, fatalCaller{path: "/again/x", timeout: callerTimeout}},
+		{"once only", 0, fatalCaller{path: "/once/x", timeout: callerTimeout}},
+		{"stream", 0, fatalCaller{path: "/stream/x", timeout: callerTimeout}},
+		{"all boxes die", 0, fatalCaller{path: "/again/x", timeout: callerTimeout, afterEach: func(s *local.System, try int) {
 			if try%15 == 14 {
 				killAll(s)
 			}
 		}}},
-		{"boxes die in turn", 0, fatalCaller{path: "/again/x", timeout: patient, afterEach: func(s *local.System, try int) {
+		{"boxes die in turn", 0, fatalCaller{path: "/again/x", timeout: callerTimeout, afterEach: func(s *local.System, try int) {
 			if try%4 == 3 {
 				entry(s, try/4).Kill()
 				_ = entry(s, try/4).Start()
 			}
 		}}},
 		{"the caller leaves before the target ends", 0, fatalCaller{path: "/again/x", timeout: crashAfter / 2}},
-		// The caller goes from one hall to the next, each of which only the store can tell.
-		{"halls are cut from each other", 4, fatalCaller{path: "/again/x", timeout: patient, chooseBox: func(try int) int { return try / 15 }, beforeFirst: cutHalls}},
+		// The caller goes from one hall to the next; each learns of the crashes from the store only.
+		{"halls are cut from each other", 4, fatalCaller{path: "/again/x", timeout: callerTimeout, chooseBox: func(try int) int { return try / 15 }, beforeFirst: cutHalls}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sc := busyScenario()
 			sc.seed, sc.length, sc.paths = 1, 24*time.Second, []string{"/again/y"}
-			sc.operator = tc.calls.run
+			sc.operator = tc.caller.run
 			sc.fatalBody, sc.halls = fatalText, tc.halls
 			sc.run(t, func(s *local.System, h *history) {
-				var at []time.Time
+				var runTimes []time.Time
 				for _, r := range s.Runs() {
 					if r.Body == fatalText {
-						at = append(at, r.At)
+						runTimes = append(runTimes, r.At)
 					}
 				}
 				late := 0
-				for i, x := range at {
-					if i >= 3 && x.Sub(at[2]) > quarantineGrace {
+				for i, x := range runTimes {
+					if i >= 3 && x.Sub(runTimes[2]) > quarantineGrace {
 						late++
 					}
 				}
 				if late > maxRunsAfterGrace {
-					t.Errorf("targets ran it %d times, %d of them too late", len(at), late)
+					t.Errorf("targets ran the fatal request %d times, %d of them more than %v after the third; at most %d are allowed", len(runTimes), late, quarantineGrace, maxRunsAfterGrace)
 				}
-				if len(at) == 0 || h.served() == 0 {
-					t.Errorf("ran %d times, %d others were served: the run shows nothing", len(at), h.served())
+				if len(runTimes) == 0 || h.served() == 0 {
+					t.Errorf("the fatal request ran %d times, %d others were served: the run tests nothing", len(runTimes), h.served())
 				}
 			})
 		})
 	}
 }
 
-// TestWhoCrashesNothingIsServed: requests that ran beside one that crashes targets are not
-// taken for it: their callers are served as soon as there are targets again.
-func TestWhoCrashesNothingIsServed(t *testing.T) {
+// TestQuarantineSparesConcurrentRequests checks that requests which run concurrently with a fatal
+// one are not quarantined: their callers are served as soon as targets are available again.
+func TestQuarantineSparesConcurrentRequests(t *testing.T) {
 	sc := busyScenario()
 	sc.seed, sc.length, sc.paths = 1, 24*time.Second, []string{"/again/y", "/stream/y"}
 	sc.operator = fatalCaller{path: "/again/x", timeout: 2 * time.Second}.run
@@ -156,15 +158,15 @@
 			}
 		}
 		if served < 100*failed {
-			t.Errorf("%d were served, %d were not", served, failed)
+			t.Errorf("%d requests that crash no target were served and %d were not; want at most 1 in 100", served, failed)
 		}
 	})
 }
 
-// TestACutThatRefusesPutsNothingInQuarantine: as links between halls are cut with refusals,
-// what was under way over them breaks off and its targets refuse connections, as if all had
-// ended.
-func TestACutThatRefusesPutsNothingInQuarantine(t *testing.T) {
+// TestRefusedLinksQuarantineNothing guards against taking a cut link for crashed targets: when the
+// links between halls refuse connections, requests in flight over them break off and their targets
+// refuse new connections, as if all these targets had ended.
+func TestRefusedLinksQuarantineNothing(t *testing.T) {
 	sc := busyScenario()
 	sc.seed, sc.callers = 1, 40
 	for n := range 4 {
@@ -174,11 +176,11 @@
 	sc.log = seen
 	sc.run(t, func(_ *local.System, h *history) {
 		if seen.count("attempt failed") == 0 || h.served() == 0 {
-			t.Error("nothing broke off, or nothing was served: the run shows nothing")
+			t.Error("no attempt failed, or no request was served: the run tests nothing")
 		}
 		for _, line := range []string{"target ended under work", "work in quarantine", "kind=quarantined"} {
 			if n := seen.count(line); n > 0 {
-				t.Errorf("%d lines %q", n, line)
+				t.Errorf("%d log lines contain %q, want none", n, line)
 			}
 		}
 	})
--- a/local/rest_test.go
+++ b/local/rest_test.go
@@ -9,22 +9,25 @@
 	"clovertrail.dev/platform/standin"
 )
 
-// A third of the targets of a fleet turned away all that reached them for some nine seconds, and
-// said with each answer for how long they wanted nothing from the box that asked. They went on
-// getting seven in ten of all attempts, and half of the callers were refused. What a target
-// asked for was told to the caller and forgotten: nothing that chooses targets knew of it, and
-// one that answers at once and has nothing open looks like the one with the most room. What
-// proved it: this test, in which a box sends such a target up to 113 requests in the time for
-// which it was asked for rest, and none once the roster keeps what they asked for.
+// The tests of this file guard against requests to targets that asked for rest. In a fleet, a third
+// of the targets rejected all requests for about nine seconds and stated with each answer for how
+// long they wanted no requests from the box that had sent one. They continued to receive seven in ten
+// of all attempts, and half of the callers were refused. The boxes forwarded the answer to the caller
+// but did not use it to choose targets, and a target that answers immediately and has no requests in
+// flight looks like the least loaded one. Without a record of these answers a box sends such a target
+// up to 113 requests in the time for which it asked for rest; with the record in the roster it sends
+// none.
 
 const (
-	// restGracePeriod is how long after its answer a target bears what was under way to it.
+	// restGracePeriod is the time after an answer that asks for rest in which requests in flight
+	// may still arrive.
 	restGracePeriod = 500 * time.Millisecond
-	// maxDuringRest is how many requests of a box a target bears in the rest of the time.
+	// maxDuringRest is how many requests of a box may reach a target after restGracePeriod, until
+	// the end of its rest.
 	maxDuringRest = 2
 )
 
-// rejectBetween makes the targets turn all away and ask for rest between the times.
+// rejectBetween makes the targets reject all requests and ask for rest between the two times.
 func rejectBetween(targets func(*local.System) []*standin.Target, rest, from, to time.Duration) func(*local.System, *history) {
 	return func(s *local.System, _ *history) {
 		set := func(on bool) {
@@ -39,7 +42,7 @@
 	}
 }
 
-// plainTargets are the first targets that stand plainTargets; ranks are the first of the group.
+// plainTargets selects the first n targets outside the group.
 func plainTargets(n int) func(*local.System) []*standin.Target {
 	return func(s *local.System) (list []*standin.Target) {
 		for _, x := range s.Targets()[:n] {
@@ -49,6 +52,7 @@
 	}
 }
 
+// rankTargets selects the first n ranks of the group.
 func rankTargets(n int) func(*local.System) []*standin.Target {
 	return func(s *local.System) (list []*standin.Target) {
 		for r := range n {
@@ -58,7 +62,7 @@
 	}
 }
 
-// boxByRequest is which box had each request.
+// boxByRequest returns the box that each request was sent to, by the request's ID.
 func boxByRequest(h *history) map[string]string {
 	boxes := map[string]string{}
 	for _, a := range h.exchanges {
@@ -67,64 +71,65 @@
 	return boxes
 }
 
-// maxRequestsDuringRest is the most requests that one box sent a target in a time for which that had asked
-// it for rest, but for its beginning.
-func maxRequestsDuringRest(turned []standin.Turned, boxes map[string]string) int {
-	most := 0
-	for _, asked := range turned {
+// maxRequestsDuringRest returns the largest number of requests that one box sent a target during a
+// rest that the target had asked it for, not counting restGracePeriod.
+func maxRequestsDuringRest(rejected []standin.Turned, boxes map[string]string) int {
+	highest := 0
+	for _, first := range rejected {
 		n := 0
-		for _, x := range turned {
-			if boxes[x.ID] == boxes[asked.ID] && x.At.Sub(asked.At) > restGracePeriod && x.At.Before(asked.RestUntil) {
+		for _, x := range rejected {
+			if boxes[x.ID] == boxes[first.ID] && x.At.Sub(first.At) > restGracePeriod && x.At.Before(first.RestUntil) {
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
-// TestATargetThatAskedForRestGetsIt: no box sends a target more than a few requests between
-// half a second after it asked that box for rest and the end of that.
-func TestATargetThatAskedForRestGetsIt(t *testing.T) {
+// TestRestingTargetsGetFewRequests checks that no box sends a target more than maxDuringRest requests
+// between half a second after the target asked that box for rest and the end of the rest.
+func TestRestingTargetsGetFewRequests(t *testing.T) {
 	const rest = 3 * time.Second
 	for _, tc := range []struct {
 		name    string
 		targets func(*local.System) []*standin.Target
 		paths   []string
-		also    []faultSpec
+		faults  []faultSpec
 	}{
 		{"one of four", plainTargets(1), allPaths, nil},
 		{"half of them", plainTargets(2), allPaths, nil},
 		{"all of a service", plainTargets(4), allPaths, nil},
 		{"a rank of a group", rankTargets(1), []string{standin.GroupPath + "x", "/again/x"}, nil},
-		{"streams that may be taken up elsewhere", plainTargets(2), []string{"/stream/x"}, []faultSpec{{kind: "break off streams", at: time.Second, lasts: 9 * time.Second, index: 3}}},
-		{"the store is away", plainTargets(2), allPaths, []faultSpec{{kind: "store silent", at: time.Second, lasts: 10 * time.Second}}},
+		{"streams that can resume at another target", plainTargets(2), []string{"/stream/x"}, []faultSpec{{kind: "break off streams", at: time.Second, lasts: 9 * time.Second, index: 3}}},
+		{"the store is unavailable", plainTargets(2), allPaths, []faultSpec{{kind: "store silent", at: time.Second, lasts: 10 * time.Second}}},
 		{"links are slow", plainTargets(2), allPaths, []faultSpec{{kind: "slow link", at: time.Second, lasts: 10 * time.Second}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sc := busyScenario()
-			sc.seed, sc.length, sc.callers, sc.paths, sc.faults = 1, 14*time.Second, 16, tc.paths, tc.also
+			sc.seed, sc.length, sc.callers, sc.paths, sc.faults = 1, 14*time.Second, 16, tc.paths, tc.faults
 			sc.operator = rejectBetween(tc.targets, rest, 2*time.Second, 9*time.Second)
 			sc.run(t, func(s *local.System, h *history) {
-				boxes, asks := boxByRequest(h), 0
+				boxes, total := boxByRequest(h), 0
 				for _, x := range tc.targets(s) {
-					turned := x.Turned()
-					asks += len(turned)
-					if n := maxRequestsDuringRest(turned, boxes); n > maxDuringRest {
-						t.Errorf("a target had asked a box for %v of rest, and got %d requests from it in that time", rest, n)
+					rejected := x.Turned()
+					total += len(rejected)
+					if n := maxRequestsDuringRest(rejected, boxes); n > maxDuringRest {
+						t.Errorf("a target asked a box for %v of rest and received %d requests from it in that time, want at most %d", rest, n, maxDuringRest)
 					}
 				}
-				if asks == 0 || h.served() == 0 {
-					t.Errorf("%d requests were turned away, %d served: the run shows nothing", asks, h.served())
+				if total == 0 || h.served() == 0 {
+					t.Errorf("%d requests were rejected, %d served: the run tests nothing", total, h.served())
 				}
 			})
 		})
 	}
 }
 
-// TestCallersAreToldWhenRestingTargetsTakeWork: where all targets rest, callers who would wait
-// much longer are refused at once, and come back as the first of them takes work again.
-func TestCallersAreToldWhenRestingTargetsTakeWork(t *testing.T) {
+// TestRetryAfterMatchesEndOfRest checks that callers are refused immediately while all targets rest,
+// also if they would wait much longer, and that they are asked to retry when the first target
+// accepts requests again.
+func TestRetryAfterMatchesEndOfRest(t *testing.T) {
 	const rest, spread = time.Second, 250 * time.Millisecond
 	sc := busyScenario()
 	sc.seed, sc.length, sc.callers, sc.timeout = 1, 10*time.Second, 16, 30*time.Second
@@ -138,30 +143,31 @@
 			}
 			refused++
 			if a.reply.Again <= 0 || a.reply.Again > rest+spread {
-				t.Errorf("%s is told to come back in %v", a.request.ID, a.reply.Again)
+				t.Errorf("%s: refusal asks to retry after %v, want at most %v", a.request.ID, a.reply.Again, rest+spread)
 			}
 			if took := a.repliedAt.Sub(a.sentAt); took > spread {
-				t.Errorf("%s is refused after %v", a.request.ID, took)
+				t.Errorf("%s was refused after %v, want at most %v", a.request.ID, took, spread)
 			}
 		}
 		if refused == 0 || h.served() == 0 {
-			t.Errorf("%d were refused, %d served: the run shows nothing", refused, h.served())
+			t.Errorf("%d requests were refused, %d served: the run tests nothing", refused, h.served())
 		}
 	})
 }
 
-// TestWhoTurnsAllAwayDoesNotDrawTheLoad: targets turn all away for seven seconds and do not say
-// for how long, as where they are full. They answer at once and have nothing open, and get no more
-// of the attempts than their part of the targets; the others, which have room, serve the callers.
-func TestWhoTurnsAllAwayDoesNotDrawTheLoad(t *testing.T) {
-	const from, to, away = 2 * time.Second, 9 * time.Second, 2
+// TestRejectingTargetsGetNoExtraAttempts guards against balancing towards targets that reject all
+// requests. Two targets do so for seven seconds without stating for how long, as full targets do, so
+// they answer immediately and have no requests in flight. Their share of the attempts must not exceed
+// their share of the targets, and the other targets, which have capacity, serve the callers.
+func TestRejectingTargetsGetNoExtraAttempts(t *testing.T) {
+	const from, to, rejecting = 2 * time.Second, 9 * time.Second, 2
 	sc := busyScenario()
 	sc.seed, sc.length, sc.callers, sc.paths = 1, 12*time.Second, 24, []string{"/again/x", "/once/x", "/stream/x"}
-	sc.operator = rejectBetween(plainTargets(away), 0, from, to)
+	sc.operator = rejectBetween(plainTargets(rejecting), 0, from, to)
 	sc.run(t, func(s *local.System, h *history) {
-		turned, start := 0, h.exchanges[0].sentAt
-		for _, x := range plainTargets(away)(s) {
-			turned += len(x.Turned())
+		rejected, start := 0, h.exchanges[0].sentAt
+		for _, x := range plainTargets(rejecting)(s) {
+			rejected += len(x.Turned())
 		}
 		asked, refused := 0, 0
 		for _, a := range h.exchanges {
@@ -173,35 +179,35 @@
 				refused++
 			}
 		}
-		if part := float64(turned) / float64(asked+turned); part > float64(away)/float64(len(s.Targets())) {
-			t.Errorf("%d of %d attempts were at targets that turn all away", turned, asked+turned)
+		if share := float64(rejected) / float64(asked+rejected); share > float64(rejecting)/float64(len(s.Targets())) {
+			t.Errorf("%d of %d attempts were at the %d targets that reject all requests", rejected, asked+rejected, rejecting)
 		}
 		if refused > asked/100 {
-			t.Errorf("%d of %d callers were not served, though half of the targets have room", refused, asked)
+			t.Errorf("%d of %d requests were not served, though half of the targets have capacity", refused, asked)
 		}
-		if turned == 0 {
-			t.Error("none was turned away: the run shows nothing")
+		if rejected == 0 {
+			t.Error("no request was rejected: the run tests nothing")
 		}
 	})
 }
 
-// TestATargetThatSaysItIsLeavingGetsNoNewWork: a target reports it with each answer, and nothing
-// else tells. What callers ask of a box later than the time to drain after it passed such an
-// answer on does not reach that target from it.
-func TestATargetThatSaysItIsLeavingGetsNoNewWork(t *testing.T) {
+// TestLeavingTargetsGetNoNewRequests covers a target that reports with each of its answers, and in no
+// other way, that it is leaving. A request that a box receives later than bounds().Drain after it
+// forwarded such an answer must not reach that target.
+func TestLeavingTargetsGetNoNewRequests(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		also []faultSpec
+		name   string
+		faults []faultSpec
 	}{
 		{"the list says that it is ready", nil},
-		{"and says so again", []faultSpec{{kind: "relist target", at: 5 * time.Second, lasts: 2 * time.Second}}},
-		{"it turns requests away", []faultSpec{{kind: "target full", at: 4 * time.Second, lasts: 2 * time.Second}}},
+		{"the list says so again", []faultSpec{{kind: "relist target", at: 5 * time.Second, lasts: 2 * time.Second}}},
+		{"it rejects requests", []faultSpec{{kind: "target full", at: 4 * time.Second, lasts: 2 * time.Second}}},
 		{"it fails", []faultSpec{{kind: "target fails", at: 3 * time.Second, lasts: 4 * time.Second}}},
-		{"the store is away", []faultSpec{{kind: "store silent", at: time.Second, lasts: 10 * time.Second}}},
+		{"the store is unavailable", []faultSpec{{kind: "store silent", at: time.Second, lasts: 10 * time.Second}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sc := busyScenario()
-			sc.seed, sc.faults, sc.paths, sc.length = 1, tc.also, []string{"/again/x", "/once/x", "/stream/x"}, 14*time.Second
+			sc.seed, sc.faults, sc.paths, sc.length = 1, tc.faults, []string{"/again/x", "/once/x", "/stream/x"}, 14*time.Second
 			sc.operator = func(s *local.System, _ *history) {
 				time.Sleep(3 * time.Second)
 				s.Targets()[0].Target().Behave(func(h *standin.Habits) { h.Leaving = true })
@@ -211,18 +217,18 @@
 	}
 }
 
-// TestAllBoxesHearThatATargetIsLeaving: what one box learns by an answer, or the agent beside a
-// rank by its own questions, holds at all boxes by the end of the time to drain, also while the
-// store is away.
-func TestAllBoxesHearThatATargetIsLeaving(t *testing.T) {
+// TestLeavingReachesAllBoxes checks that a target's leaving, which one box receives with an answer or
+// the agent of a rank by polling its engine, is observed by all boxes within bounds().Drain, also
+// while the store is unavailable.
+func TestLeavingReachesAllBoxes(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		leave func(*local.System) *standin.Target
 		path  string
-		first int // requests at one box before the others have any
+		first int // number of requests at one box before the others receive any
 	}{
-		{"a target that stands alone", func(s *local.System) *standin.Target { return s.Targets()[0].Target() }, "/again/x", 60},
-		{"a rank of a group, which nobody asks for anything", func(s *local.System) *standin.Target { return s.Group().Target(1) }, standin.GroupPath + "x", 0},
+		{"a target outside the group", func(s *local.System) *standin.Target { return s.Targets()[0].Target() }, "/again/x", 60},
+		{"a rank of a group, without requests", func(s *local.System) *standin.Target { return s.Group().Target(1) }, standin.GroupPath + "x", 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var from time.Time
@@ -255,18 +261,19 @@
 					}
 				}
 				if late > 0 {
-					t.Errorf("%d requests reached a target that had been leaving for %v", late, bounds().Drain.Std())
+					t.Errorf("%d requests reached a target that had been leaving for more than %v", late, bounds().Drain.Std())
 				}
 				if tc.first > 0 && before == 0 || h.served() < 200 {
-					t.Errorf("it had %d requests before, %d were served: the run shows nothing", before, h.served())
+					t.Errorf("the target ran %d requests within the time to drain, and %d requests were served: the run tests nothing", before, h.served())
 				}
 			})
 		})
 	}
 }
 
-// checkLeaver looks for requests that a box took too late after it had passed on an answer of
-// the target, which has been leaving since three seconds after the start.
+// checkLeaver checks that no box sent the leaving target a request that it received later than
+// bounds().Drain after it had forwarded an answer of that target. The target has been leaving since
+// three seconds after the start.
 func checkLeaver(t *testing.T, s *local.System, h *history, leaver domain.InstanceID) {
 	t.Helper()
 	byID := map[string]exchange{}
@@ -277,28 +284,28 @@
 			start = a.sentAt
 		}
 	}
-	passed := map[string]time.Time{} // by box: when it first passed on an answer that reported it
-	var at []exchange
+	forwarded := map[string]time.Time{} // when each box first forwarded an answer that reports the leaving
+	var ran []exchange
 	for _, r := range s.Runs() {
 		a, known := byID[r.ID]
 		if !known || domain.InstanceID(r.Target) != leaver || r.At.Sub(start) < 3100*time.Millisecond {
 			continue
 		}
-		at = append(at, a)
-		if first, ok := passed[a.box]; a.reply.Status != 0 && (!ok || a.repliedAt.Before(first)) {
-			passed[a.box] = a.repliedAt
+		ran = append(ran, a)
+		if first, ok := forwarded[a.box]; a.reply.Status != 0 && (!ok || a.repliedAt.Before(first)) {
+			forwarded[a.box] = a.repliedAt
 		}
 	}
 	late := 0
-	for _, a := range at {
-		if first, ok := passed[a.box]; ok && a.sentAt.Sub(first) > bounds().Drain.Std() {
+	for _, a := range ran {
+		if first, ok := forwarded[a.box]; ok && a.sentAt.Sub(first) > bounds().Drain.Std() {
 			late++
 		}
 	}
 	if late > 0 {
-		t.Errorf("%d requests that came too late after their box had passed on that the target is leaving reached it", late)
+		t.Errorf("%d requests reached the leaving target that their box received more than %v after it had forwarded an answer with the leaving", late, bounds().Drain.Std())
 	}
-	if len(passed) == 0 {
-		t.Error("the target had no work while it was leaving: the run shows nothing")
+	if len(forwarded) == 0 {
+		t.Error("the target ran no request while it was leaving: the run tests nothing")
 	}
 }
