--- a/local/limit_test.go
+++ b/local/limit_test.go
@@ -11,31 +11,33 @@
 	"clovertrail.dev/platform/standin"
 )
 
-// Two of sixteen targets said with their answers that they take 1.2 and 1.4 requests a second from
-// all boxes together, and were sent what they were sent before: 14 requests within 4 s, of which no
-// box had sent more than five. Nobody read what a target takes, and nothing in the system speaks for
-// all boxes: each chooses by itself, so that even boxes that knew would have sent, together, several
-// times what it takes. What proved it: this test, in which a target that bears 7 to 53 requests is
-// sent 51 to 231, and what it takes once the boxes get a permit for each from one of them. Boxes that
-// keep to their parts by themselves are told apart from that in package ratelimit: of 38 that save a
-// request up, 31 and more send it at once where 12 are borne.
+// The tests of this file guard against exceeding the limits that targets state. In a fleet, two of
+// sixteen targets stated in their responses that they accept 1.2 and 1.4 requests a second from all
+// boxes together, and the rate sent to them did not change: 14 requests within 4 s, of which no box
+// had sent more than five. No box read the limit, and no process decided for all boxes: each box
+// chooses targets by itself, so that boxes that know the limit would still have exceeded it several
+// times together. Without permits, a target in these tests that tolerates 7 to 53 requests in a window
+// is sent 51 to 231; when one box issues a permit for each request, it is sent what it accepts. The
+// tests of package ratelimit cover boxes that each use a fixed share of the limit instead: of 38 that
+// save up a request, 31 or more send it at the same time, where 12 are tolerated.
 
 const (
-	// limitWindow is the time in which what reaches a target is added up.
+	// limitWindow is the length of the windows in which the requests to a target are counted.
 	limitWindow = 4 * time.Second
-	// limitFactor and limitSlack are what a target bears beyond its limit: so many times as much,
-	// and so many requests more.
+	// A target tolerates in a window limitFactor times the requests of its limit, and limitSlack
+	// requests more.
 	limitFactor, limitSlack = 1.5, 5
-	// limitStart is when targets name their limit, and limitEnd when the run ends.
+	// limitStart is the time after the start at which targets first state their limit; the run ends
+	// at limitEnd.
 	limitStart, limitEnd = 2 * time.Second, 16 * time.Second
 )
 
-// allowedInWindow is how many requests a target with the limit bears in a window.
+// allowedInWindow returns how many requests a target with the limit tolerates in a window.
 func allowedInWindow(perSecond float64) int {
 	return int(perSecond*limitWindow.Seconds()*limitFactor + limitSlack)
 }
 
-// setLimit lets the targets name the limit from the time on.
+// setLimit makes the targets state the limit from the time on.
 func setLimit(targets func(*local.System) []*standin.Target, perSecond float64, from time.Duration) func(*local.System) {
 	return func(s *local.System) {
 		time.Sleep(from)
@@ -45,11 +47,11 @@
 	}
 }
 
-// maxInWindow is the maxInWindow requests that reached the target in a window that began at the time or later,
-// and ended by the other.
+// maxInWindow returns the largest number of requests that reached the target in a window, among the
+// arrivals from the first time on and before the second.
 func maxInWindow(arrivals []standin.Arrival, from, to time.Time) int {
 	list := between(arrivals, from, to)
-	worst := 0
+	highest := 0
 	for i, first := range list {
 		n := 0
 		for _, x := range list[i:] {
@@ -57,11 +59,12 @@
 				n++
 			}
 		}
-		worst = max(worst, n)
+		highest = max(highest, n)
 	}
-	return worst
+	return highest
 }
 
+// between returns the arrivals from the first time on and before the second.
 func between(arrivals []standin.Arrival, from, to time.Time) []standin.Arrival {
 	var list []standin.Arrival
 	for _, x := range arrivals {
@@ -72,42 +75,42 @@
 	return list
 }
 
-// checkLimit looks that what reached the target between the times was within the limit, and at
-// least the share of what it takes. It reports what was sent beside what is allowed and taken.
+// checkLimit checks that the requests that reached the target between the times were within the limit
+// and not fewer than the share of what it accepts. It logs the numbers.
 func checkLimit(t *testing.T, name string, arrivals []standin.Arrival, perSecond, share float64, from, to time.Time) {
 	t.Helper()
-	sent, worst := len(between(arrivals, from, to)), maxInWindow(arrivals, from, to)
-	takes := perSecond * to.Sub(from).Seconds()
-	t.Logf("%s: sent %d, takes %.1f; sent at most %d in %v, bears %d", name, sent, takes, worst, limitWindow, allowedInWindow(perSecond))
-	if worst > allowedInWindow(perSecond) {
-		t.Errorf("%s takes %v requests a second, and was sent %d in %v; it bears %d", name, perSecond, worst, limitWindow, allowedInWindow(perSecond))
+	sent, highest := len(between(arrivals, from, to)), maxInWindow(arrivals, from, to)
+	accepted := perSecond * to.Sub(from).Seconds()
+	t.Logf("%s: sent %d, accepts %.1f; sent at most %d in %v, tolerates %d", name, sent, accepted, highest, limitWindow, allowedInWindow(perSecond))
+	if highest > allowedInWindow(perSecond) {
+		t.Errorf("%s accepts %v requests a second and was sent %d in %v; it tolerates %d", name, perSecond, highest, limitWindow, allowedInWindow(perSecond))
 	}
-	if float64(sent) < share*takes {
-		t.Errorf("%s takes %.1f requests in %v, and was sent %d", name, takes, to.Sub(from), sent)
+	if float64(sent) < share*accepted {
+		t.Errorf("%s accepts %.1f requests in %v and was sent %d; want at least %.1f", name, accepted, to.Sub(from), sent, share*accepted)
 	}
 }
 
-// TestATargetThatNamesALimitGetsNoMore: from the time to come into touch after it first named its
-// limit, a target gets no more from all boxes together than it bears, and still about what it
-// takes.
-func TestATargetThatNamesALimitGetsNoMore(t *testing.T) {
+// TestTargetLimitsAreRespected checks that a target, from bounds().Contact after it first stated its
+// limit, receives no more requests from all boxes together than it tolerates, and still about as many
+// as it accepts.
+func TestTargetLimitsAreRespected(t *testing.T) {
 	plain := []string{"/again/x", "/once/x", "/stream/x"}
 	for _, tc := range []struct {
 		name      string
 		targets   func(*local.System) []*standin.Target
 		perSecond float64
-		share     float64 // of what it takes, that it gets at least
+		share     float64 // minimum share of the accepted requests that it must receive
 		load      scenario
-		also      []faultSpec
+		faults    []faultSpec
 	}{
 		{"one of four", plainTargets(1), 1.5, 0.8, scenario{}, nil},
 		{"half of them", plainTargets(2), 1.5, 0.8, scenario{}, nil},
 		{"all of a service", plainTargets(4), 1.5, 0.8, scenario{}, nil},
-		{"all of a service, which take more", plainTargets(4), 8, 0.8, scenario{}, nil},
+		{"all of a service, with a higher limit", plainTargets(4), 8, 0.8, scenario{}, nil},
 		{"a rank of a group", rankTargets(1), 1.5, 0.8, scenario{paths: []string{standin.GroupPath + "x", "/again/x"}}, nil},
 		{"less than a request a box", plainTargets(2), 0.4, 0.6, scenario{entries: 12}, nil},
 		{"many boxes, all of a service", plainTargets(4), 2, 0.8, scenario{entries: 24, callers: 40}, nil},
-		{"streams that may be taken up elsewhere", plainTargets(2), 1.5, 0.8, scenario{paths: []string{"/stream/x"}}, []faultSpec{
+		{"streams that can resume at another target", plainTargets(2), 1.5, 0.8, scenario{paths: []string{"/stream/x"}}, []faultSpec{
 			{kind: "break off streams", at: time.Second, lasts: 14 * time.Second, index: 3}}},
 		{"the others fail", plainTargets(2), 1.5, 0.8, scenario{}, []faultSpec{
 			{kind: "target fails", at: 3 * time.Second, lasts: 12 * time.Second, index: 2},
@@ -126,18 +129,18 @@
 			{kind: "stop entry", at: 4 * time.Second, lasts: time.Second, index: 0},
 			{kind: "stop entry", at: 7 * time.Second, lasts: time.Second, index: 1},
 			{kind: "stop entry", at: 10 * time.Second, lasts: time.Second, index: 2}}},
-		{"boxes that do not hear each other", plainTargets(6), 1.5, 0.5, scenario{halls: 3, entries: 6, targets: 6}, []faultSpec{
+		{"boxes that receive nothing from each other", plainTargets(6), 1.5, 0.5, scenario{halls: 3, entries: 6, targets: 6}, []faultSpec{
 			{kind: "silence link", at: 5 * time.Second, lasts: 7 * time.Second}}},
-		{"halls refuse each other for moments", plainTargets(4), 4, 0.5, scenario{}, []faultSpec{
+		{"links between halls refuse connections for moments", plainTargets(4), 4, 0.5, scenario{}, []faultSpec{
 			{kind: "refuse link", at: 5 * time.Second, lasts: 50 * time.Millisecond},
 			{kind: "refuse link", at: 7 * time.Second, lasts: 300 * time.Millisecond},
 			{kind: "refuse link", at: 9 * time.Second, lasts: 2 * time.Second}}},
 		{"links are slow", plainTargets(2), 1.5, 0.5, scenario{}, []faultSpec{{kind: "slow link", at: time.Second, lasts: 14 * time.Second}}},
-		{"the store is away", plainTargets(2), 1.5, 0.8, scenario{}, []faultSpec{{kind: "store silent", at: time.Second, lasts: 14 * time.Second}}},
+		{"the store is unavailable", plainTargets(2), 1.5, 0.8, scenario{}, []faultSpec{{kind: "store silent", at: time.Second, lasts: 14 * time.Second}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sc := tc.load
-			sc.seed, sc.length, sc.faults, sc.events, sc.eventGap = 1, limitEnd, tc.also, 12, 40*time.Millisecond
+			sc.seed, sc.length, sc.faults, sc.events, sc.eventGap = 1, limitEnd, tc.faults, 12, 40*time.Millisecond
 			if sc.callers == 0 {
 				sc.callers = 24
 			}
@@ -155,14 +158,15 @@
 					checkLimit(t, x.ID(), x.Arrivals(), tc.perSecond, tc.share, from, start.Add(limitEnd))
 				}
 				if h.served() == 0 {
-					t.Error("nothing was served: the run shows nothing")
+					t.Error("no request was served: the run tests nothing")
 				}
 			})
 		})
 	}
 }
 
-// setLimits lets the targets name each text as their limit, one after the other; empty for none.
+// setLimits makes the targets state each text as their limit, one after the other; they state no
+// limit for an empty text.
 func setLimits(targets func(*local.System) []*standin.Target, each time.Duration, texts ...string) func(*local.System) {
 	return func(s *local.System) {
 		for _, text := range texts {
@@ -174,25 +178,25 @@
 	}
 }
 
-// TestALimitThatChangesHolds: a target is sent what it takes by the limit that it names now, from
-// the time to come into touch on; what is no number changes nothing, and once it names none it is
-// sent its part of the work again.
-func TestALimitThatChangesHolds(t *testing.T) {
-	const each, usual = 12 * time.Second, -1
+// TestChangedLimitsApply checks that from bounds().Contact after a change of its limit a target is sent
+// the requests that the new limit accepts. A limit that is not a valid number changes nothing, and a
+// target that no longer states a limit gets its share of the requests again.
+func TestChangedLimitsApply(t *testing.T) {
+	const each, unlimited = 12 * time.Second, -1
 	for _, tc := range []struct {
 		name   string
 		texts  []string
-		takes  []float64 // a second, for each text
-		starts []int     // before which texts the target starts again
+		limits []float64 // requests a second that the target accepts, for each text
+		starts []int     // indices of the texts before which the target restarts
 	}{
 		{"it falls and rises", []string{"12", "1.5", "6"}, []float64{12, 1.5, 6}, nil},
-		{"it ends and comes back", []string{"2", "", "2"}, []float64{2, usual, 2}, nil},
-		{"it cannot be read", []string{"2", "two", "-2", "NaN"}, []float64{2, 2, 2, 2}, nil},
-		{"it takes nothing", []string{"0", ""}, []float64{0, usual}, nil},
-		{"it takes hardly anything", []string{"1e-9", ""}, []float64{0, usual}, nil},
-		{"it takes more than there is", []string{"1e9"}, []float64{usual}, nil},
-		{"it starts again without a limit", []string{"1.5", ""}, []float64{1.5, usual}, []int{1}},
-		{"it starts again with another", []string{"9", "1.5"}, []float64{9, 1.5}, []int{1}},
+		{"it ends and is stated again", []string{"2", "", "2"}, []float64{2, unlimited, 2}, nil},
+		{"it cannot be parsed", []string{"2", "two", "-2", "NaN"}, []float64{2, 2, 2, 2}, nil},
+		{"the target accepts nothing", []string{"0", ""}, []float64{0, unlimited}, nil},
+		{"the target accepts hardly anything", []string{"1e-9", ""}, []float64{0, unlimited}, nil},
+		{"it exceeds the load", []string{"1e9"}, []float64{unlimited}, nil},
+		{"the target restarts without a limit", []string{"1.5", ""}, []float64{1.5, unlimited}, []int{1}},
+		{"the target restarts with another", []string{"9", "1.5"}, []float64{9, 1.5}, []int{1}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sc := scenario{seed: 1, length: each * time.Duration(len(tc.texts)), callers: 16, paths: []string{"/again/x", "/once/x", "/stream/x"}, events: 12, eventGap: 40 * time.Millisecond}
@@ -212,15 +216,15 @@
 			}
 			sc.run(t, func(s *local.System, _ *history) {
 				others := s.Targets()[1].Target().Arrivals()
-				for i, takes := range tc.takes {
+				for i, limit := range tc.limits {
 					name, begin, end := "limit "+strconv.Quote(tc.texts[i]), from[i].Add(bounds().Contact.Std()), from[i].Add(each)
-					if takes != usual {
-						checkLimit(t, name, arrivals[i], takes, 0.8, begin, end)
+					if limit != unlimited {
+						checkLimit(t, name, arrivals[i], limit, 0.8, begin, end)
 						continue
 					}
-					begin = end.Add(-each / 4) // it may take a while to find out
+					begin = end.Add(-each / 4) // boxes may need some time to detect the end of the limit
 					if own, other := len(between(arrivals[i], begin, end)), len(between(others, begin, end)); own < other/2 {
-						t.Errorf("%s: it was sent %d requests, another %d", name, own, other)
+						t.Errorf("%s: the target was sent %d requests, another target %d; want at least half of that", name, own, other)
 					}
 				}
 			})
@@ -228,18 +232,18 @@
 	}
 }
 
-// TestWhereAllTargetsAreLimitedTheRestIsRefusedAtOnce: callers who cannot be served are told so at
-// once, with times to come back that are spread; those that are served are served in time.
-func TestWhereAllTargetsAreLimitedTheRestIsRefusedAtOnce(t *testing.T) {
-	const perSecond, atOnce, within = 4, 150 * time.Millisecond, 4 * time.Second
-	sc := scenario{seed: 1, length: limitEnd, callers: 24, paths: []string{"/again/x", "/once/x"}, timeout: within}
+// TestExcessRequestsAreRefusedImmediately covers limits on all targets: requests beyond them are
+// refused immediately with retry times that are spread, and the others are served in time.
+func TestExcessRequestsAreRefusedImmediately(t *testing.T) {
+	const perSecond, maxDelay, timeout = 4, 150 * time.Millisecond, 4 * time.Second
+	sc := scenario{seed: 1, length: limitEnd, callers: 24, paths: []string{"/again/x", "/once/x"}, timeout: timeout}
 	var start time.Time
 	sc.operator = func(s *local.System, _ *history) {
 		start = time.Now()
 		setLimit(plainTargets(4), perSecond, 0)(s)
 	}
 	sc.run(t, func(_ *local.System, h *history) {
-		var again []time.Duration
+		var retryAfter []time.Duration
 		served, late := 0, 0
 		for _, a := range h.exchanges {
 			if a.sentAt.Sub(start) < bounds().Contact.Std() {
@@ -249,57 +253,59 @@
 			switch {
 			case a.reply.Right:
 				served++
-				if took > atOnce {
+				if took > maxDelay {
 					late++
 				}
 			case !a.reply.NotRun():
-				t.Errorf("%s ended with %d", a.request.ID, a.reply.Status)
-			case took > atOnce:
-				t.Errorf("%s was refused after %v", a.request.ID, took)
+				t.Errorf("%s was neither served nor refused: status %d", a.request.ID, a.reply.Status)
+			case took > maxDelay:
+				t.Errorf("%s was refused after %v, want at most %v", a.request.ID, took, maxDelay)
 			default:
-				again = append(again, a.reply.Again)
+				retryAfter = append(retryAfter, a.reply.Again)
 			}
 		}
-		takes := 4 * perSecond * (limitEnd - bounds().Contact.Std()).Seconds()
-		t.Logf("allowed %.0f, served %d, of them late %d, refused %d", takes, served, late, len(again))
-		if float64(served) < 0.8*takes || late > served/50 {
-			t.Errorf("%d were served, %d of them late, where %.0f are taken", served, late, takes)
+		accepted := 4 * perSecond * (limitEnd - bounds().Contact.Std()).Seconds()
+		t.Logf("accepted by the targets %.0f, served %d, of them late %d, refused %d", accepted, served, late, len(retryAfter))
+		if float64(served) < 0.8*accepted || late > served/50 {
+			t.Errorf("%d requests were served, %d of them late, where the targets accept %.0f", served, late, accepted)
 		}
-		checkSpread(t, again, within/3)
+		checkSpread(t, retryAfter, timeout/3)
 	})
 }
 
-// checkSpread looks that times to come back fill what callers heed, but for its beginning, when
-// nothing can be had yet, with no part of it in which they crowd.
-func checkSpread(t *testing.T, again []time.Duration, heeded time.Duration) {
+// checkSpread checks that retry times are spread over the interval that callers follow, without a
+// quarter that holds too many of them. The first quarter may hold few, as no request can be served at
+// its beginning.
+func checkSpread(t *testing.T, retryAfter []time.Duration, interval time.Duration) {
 	t.Helper()
 	const parts = 4
 	count := make([]int, parts)
-	for _, d := range again {
-		if d <= 0 || d > heeded {
-			t.Fatalf("a caller is told to come back in %v", d)
+	for _, d := range retryAfter {
+		if d <= 0 || d > interval {
+			t.Fatalf("a caller is asked to retry after %v, which is not within %v", d, interval)
 		}
-		count[min(int(d*parts/heeded), parts-1)]++
+		count[min(int(d*parts/interval), parts-1)]++
 	}
 	for i, n := range count {
-		if i > 0 && n < len(again)/parts/2 || n > len(again)*2/parts {
-			t.Errorf("of %d callers %d come back in part %d of %d of the time that they heed", len(again), n, i+1, parts)
+		if i > 0 && n < len(retryAfter)/parts/2 || n > len(retryAfter)*2/parts {
+			t.Errorf("of %d callers %d are asked to retry in part %d of %d of the interval", len(retryAfter), n, i+1, parts)
 		}
 	}
 }
 
-// TestABoxThatStartsHearsOfLimits: most targets take nothing, which all other boxes know. A box that
-// has just started learns of it from them, and does not send each target a request to find out.
-func TestABoxThatStartsHearsOfLimits(t *testing.T) {
-	const targets, out, atOnce = 24, 20, 60
+// TestStartedEntryReceivesLimits checks that a box that has just started receives the limits of targets
+// from other boxes. Most targets accept nothing, which all other boxes know, and the box must not send
+// each of them a request to find out.
+func TestStartedEntryReceivesLimits(t *testing.T) {
+	const targets, closed, requests = 24, 20, 60
 	seen := &logBuffer{}
-	foundOut := func() int {
+	limitsFromAnswers := func() int {
 		return seen.countLines(`msg="target limit" box=entry-0 `, "source=answer")
 	}
 	before, after := 0, 0
 	sc := scenario{seed: 1, targets: targets, callers: 12, length: 5 * time.Second, paths: []string{"/again/x"}, log: seen}
 	sc.operator = func(s *local.System, h *history) {
-		setLimit(plainTargets(out), 0, 0)(s)
+		setLimit(plainTargets(closed), 0, 0)(s)
 		time.Sleep(6 * time.Second)
 		box := entry(s, 0)
 		box.Kill()
@@ -307,27 +313,27 @@
 			t.Error(err)
 		}
 		time.Sleep(100 * time.Millisecond)
-		before = foundOut()
-		for range atOnce {
+		before = limitsFromAnswers()
+		for range requests {
 			sc.send(s, h, box, "/again/x")
 		}
-		after = foundOut()
+		after = limitsFromAnswers()
 	}
 	sc.run(t, func(_ *local.System, h *history) {
-		if after > before || h.served() < atOnce {
-			t.Errorf("it found out by itself of %d targets that take nothing; %d requests were served", after-before, h.served())
+		if after > before || h.served() < requests {
+			t.Errorf("the started box received %d limits from answers of targets, want none; %d requests were served, want at least %d", after-before, h.served(), requests)
 		}
 	})
 }
 
-// TestAllBoxesHearOfALimit: what one box learns by an answer, that a target names a limit or none any
-// more, the others know a second later.
-func TestAllBoxesHearOfALimit(t *testing.T) {
+// TestLimitsReachAllBoxes checks that all boxes know within a second of a limit, or of the end of a
+// limit, that a target stated in an answer to one of them.
+func TestLimitsReachAllBoxes(t *testing.T) {
 	seen := &logBuffer{}
-	know := map[string][]int{} // by limit: lines of each box that say so
+	logged := map[string][]int{} // number of log lines of each box with the limit, by limit
 	sc := scenario{seed: 1, log: seen}
 	sc.operator = func(s *local.System, h *history) {
-		time.Sleep(5 * time.Second) // boxes that have just started are told all
+		time.Sleep(5 * time.Second) // boxes that have just started receive all limits anyway
 		for _, limit := range []string{"7", "none"} {
 			s.Targets()[0].Target().Behave(func(h *standin.Habits) { h.Limit = strings.TrimSuffix(limit, "none") })
 			for range 40 {
@@ -335,14 +341,14 @@
 			}
 			time.Sleep(time.Second)
 			for _, e := range s.Entries() {
-				know[limit] = append(know[limit], seen.countLines(`msg="target limit" box=`+e.Name()+" ", "limit="+limit+" "))
+				logged[limit] = append(logged[limit], seen.countLines(`msg="target limit" box=`+e.Name()+" ", "limit="+limit+" "))
 			}
 		}
 	}
 	sc.run(t, func(*local.System, *history) {
-		for limit, boxes := range know {
+		for limit, boxes := range logged {
 			if slices.Contains(boxes, 0) {
-				t.Errorf("limit %s: %v lines of the boxes say so", limit, boxes)
+				t.Errorf("limit %s: the boxes logged %v lines with it, want at least one each", limit, boxes)
 			}
 		}
 	})
