--- a/demo/workload.go
+++ b/demo/workload.go
@@ -47,7 +47,7 @@
 	Kind  string  `json:"kind"`
 	At    Seconds `json:"at_seconds"`
 	For   Seconds `json:"for_seconds"`
-	Index int     `json:"pick"` // of the box, target, rank or pair of halls
+	Index int     `json:"pick"` // index of the affected box, target, rank or pair of halls
 }
 
 // DefaultWorkload returns the workload of the demonstration without a workload file: a peak, and
--- a/local/fatal_test.go
+++ b/local/fatal_test.go
@@ -30,7 +30,7 @@
 // fatalCaller is a caller that sends the same fatal request repeatedly, to one box after another.
 type fatalCaller struct {
 	path        string
-	timeout     time.Duration                  // of each try
+	timeout     time.Duration                  // time after which the caller abandons a try
 	chooseBox   func(try int) int              // index of the box for a try; nil for all boxes in turn
 	beforeFirst func(s *local.System)          // runs before the first try; may be nil
 	afterEach   func(s *local.System, try int) // runs after each try; may be nil
--- a/local/invariant_test.go
+++ b/local/invariant_test.go
@@ -92,13 +92,13 @@
 }
 
 func drawFaults(rt *rapid.T) []faultSpec {
-	list := make([]faultSpec, rapid.IntRange(1, 5).Draw(rt, "troubles"))
+	list := make([]faultSpec, rapid.IntRange(1, 5).Draw(rt, "faults"))
 	for i := range list {
 		list[i] = faultSpec{
 			kind:  rapid.SampledFrom(drawnKinds).Draw(rt, "kind"),
 			at:    time.Duration(rapid.IntRange(0, 8000).Draw(rt, "at ms")) * time.Millisecond,
-			lasts: time.Duration(rapid.IntRange(200, 6000).Draw(rt, "last ms")) * time.Millisecond,
-			index: rapid.IntRange(0, 7).Draw(rt, "pick"),
+			lasts: time.Duration(rapid.IntRange(200, 6000).Draw(rt, "lasts ms")) * time.Millisecond,
+			index: rapid.IntRange(0, 7).Draw(rt, "index"),
 		}
 	}
 	return list
--- a/local/restore_test.go
+++ b/local/restore_test.go
@@ -14,13 +14,13 @@
 type restoreCase struct {
 	name          string
 	lostVersions  int                       // versions acknowledged after the backup was taken
-	outage        time.Duration             // of the store before the restore; also the wait after it
+	outage        time.Duration             // how long the store is unavailable before the restore; the test waits as long after it
 	laterChanges  int                       // changes after the restore and before the one that is checked
 	times         int                       // restores in a row; 0 for one
 	header        func(era uint64) []string // values of the header with the era; nil for the usual one
 	boxes         int                       // number of entry boxes; 0 for the scenario's default
 	silentWatches bool                      // watches of the configuration get no response after the restore
-	hallIsolated  bool                      // only the boxes of one hall can reach the store; those of the other hall only reach these
+	cutHall       bool                      // only the boxes of one hall can reach the store; those of the other hall only reach these
 	restartsBox   bool                      // a box is killed and started again right before the restore
 	relists       bool                      // a target is relisted repeatedly, so that revisions exceed those from before the restore at once
 }
@@ -63,7 +63,7 @@
 	{name: "eras that are not numbers", lostVersions: 6, outage: time.Second, header: func(era uint64) []string { return []string{fmt.Sprint("era ", era)} }},
 	{name: "only some eras are stated", lostVersions: 6, outage: time.Second, times: 2, header: evenEras},
 	{name: "one response in a hundred states a wrong era", lostVersions: 6, outage: time.Second, header: damagedEras()},
-	{name: "half of the boxes are cut off from the store", lostVersions: 6, outage: time.Second, hallIsolated: true},
+	{name: "half of the boxes are cut off from the store", lostVersions: 6, outage: time.Second, cutHall: true},
 	{name: "watches of the configuration get no response", lostVersions: 6, silentWatches: true, boxes: 12},
 	{name: "forty boxes, in halls with hubs", lostVersions: 6, outage: time.Second, boxes: 40},
 	{name: "a box starts as the store is restored", lostVersions: 6, outage: time.Second, restartsBox: true},
@@ -104,7 +104,7 @@
 		s.Store.HoldWatches("config")
 	}
 	served := map[string]int{} // version, by StartID of the box
-	if c.hallIsolated {
+	if c.cutHall {
 		s.Network.SetLink(s.Halls()[1], local.StoreHall, local.Refused)
 		defer s.Network.SetLink(s.Halls()[1], local.StoreHall, local.Open)
 	}
--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -41,7 +41,7 @@
 	kind  string // a key of faultKinds
 	at    time.Duration
 	lasts time.Duration
-	index int // of the box, agent, target, rank or pair of halls
+	index int // index of the affected box, agent, target, rank or pair of halls
 }
 
 // scenario is one run of the whole system in fake time.
@@ -49,14 +49,14 @@
 	name      string
 	length    time.Duration
 	callers   int
-	paths     []string // requested by callers in turn
-	timeout   time.Duration
-	events    int // number in a stream; 0 for the default
+	paths     []string      // paths that callers request in turn
+	timeout   time.Duration // time limit of callers; at least 4 s applies
+	events    int           // number of events of a stream; 0 for the default
 	eventGap  time.Duration
 	faults    []faultSpec
 	seed      uint64
 	operator  func(*local.System, *history) // runs concurrently with the callers
-	ranks     int                           // number in the group; 0 for that of groupShape
+	ranks     int                           // number of ranks; 0 for that of groupShape
 	halls     int                           // number of data halls; 0 for two
 	entries   int                           // number of entry boxes; 0 for four
 	targets   int                           // number of targets outside the group; 0 for four
@@ -80,7 +80,7 @@
 type history struct {
 	mu         sync.Mutex
 	exchanges  []exchange
-	violations []string // descriptions
+	violations []string // messages
 	ids        int
 }
 
