--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -18,16 +18,16 @@
 	"clovertrail.dev/settings"
 )
 
-// key is the key of the one organisation.
-const key = "k"
+// apiKey is the API key of the only organisation.
+const apiKey = "k"
 
-// group is a small group of ranks whose demand jumps every few seconds.
-var group = standin.GroupShape{
-	Name: "g0", Ranks: 3, Layers: 2, Experts: 12, Slots: 6, Staging: 2,
-	StepTime: 30 * time.Millisecond, CopyTime: 50 * time.Millisecond, ExpertShare: 0.85,
+// groupShape is the shape of a small group of ranks. The demand moves to other experts every 3 s.
+var groupShape = standin.GroupShape{
+	Name: "g0", Ranks: 3, Layers: 2, Experts: 12, Places: 6, Staging: 2,
+	Step: 30 * time.Millisecond, Copy: 50 * time.Millisecond, Share: 0.85,
 	Demand: func(at time.Time, layer, expert int) float64 {
-		const experts, jump = 12, 3 * time.Second
-		hot := (int(at.UnixNano()/int64(jump)) + layer) % experts
+		const experts, shiftInterval = 12, 3 * time.Second
+		hot := (int(at.UnixNano()/int64(shiftInterval)) + layer) % experts
 		if expert == hot {
 			return 0.5
 		}
@@ -35,89 +35,91 @@
 	},
 }
 
-// trouble is something that goes wrong at a time and is mended after another.
-type trouble struct {
-	kind string // a key of troubles
-	at   time.Duration
-	last time.Duration
-	pick int // which box or pair of halls
+// faultSpec is a fault that starts at a time after the start of the run and ends after it lasted
+// for a time.
+type faultSpec struct {
+	kind  string // a key of faultKinds
+	at    time.Duration
+	lasts time.Duration
+	index int // index of the affected box, agent, target, rank or pair of halls
 }
 
 // scenario is one run of the whole system in fake time.
 type scenario struct {
-	name     string
-	length   time.Duration
-	callers  int
-	paths    []string // that callers ask for, by turns
-	within   time.Duration
-	events   int // of a stream
-	gap      time.Duration
-	troubles []trouble
-	seed     uint64
-	operate  func(*local.System, *history) // runs beside the callers
-	ranks    int                           // of the group; 0 for the usual few
-	halls    int                           // 0 for two
-	entries  int                           // 0 for four
-	targets  int                           // that stand alone; 0 for four
-	link     float64                       // of their boxes, in Mbit/s; 0 for plenty
-	log      io.Writer                     // takes the lines of all processes
-	fatal    string                        // the body of requests that crash targets; empty for none
+	name      string
+	length    time.Duration
+	callers   int
+	paths     []string      // paths that callers request in turn
+	timeout   time.Duration // time limit of callers; at least 4 s applies
+	events    int           // number of events of a stream; 0 for the default
+	eventGap  time.Duration
+	faults    []faultSpec
+	seed      uint64
+	operator  func(*local.System, *history) // runs concurrently with the callers
+	ranks     int                           // number of ranks; 0 for that of groupShape
+	halls     int                           // number of data halls; 0 for two
+	entries   int                           // number of entry boxes; 0 for four
+	targets   int                           // number of targets outside the group; 0 for four
+	linkMbps  float64                       // configured link rate of the ranks' boxes, in Mbit/s; 0 for 1000
+	log       io.Writer                     // receives the log lines of all processes
+	fatalBody string                        // the body of requests that crash targets; empty if no request does
 }
 
-// asked is one request and its reply.
-type asked struct {
-	request standin.Request
-	box     string
-	at      time.Time
-	reply   standin.Reply
-	done    time.Time // when the caller had the reply
+// exchange is one request of a caller and its reply.
+type exchange struct {
+	request   standin.Request
+	box       string
+	sentAt    time.Time
+	reply     standin.Reply
+	repliedAt time.Time // when the caller had received the reply
 }
 
-// history is what was seen in a run.
+// history records the requests of a run, and the violations found while it goes on.
 //
 // Lock order: mu is the only lock.
 type history struct {
-	mu     sync.Mutex
-	asked  []asked
-	faults []string // violations found on the way
-	ids    int
+	mu         sync.Mutex
+	exchanges  []exchange
+	violations []string // messages
+	ids        int
 }
 
-func (h *history) id() string {
+func (h *history) nextID() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ids++
 	return fmt.Sprintf("q-%d", h.ids)
 }
 
-func (h *history) add(a asked) {
+func (h *history) add(a exchange) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.asked = append(h.asked, a)
+	h.exchanges = append(h.exchanges, a)
 }
 
-func (h *history) fault(format string, args ...any) {
+func (h *history) addViolation(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.faults = append(h.faults, fmt.Sprintf(format, args...))
+	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-// right counts the requests that were served whole.
-func (h *history) right() int {
+// served returns the number of requests with a complete reply.
+func (h *history) served() int {
 	n := 0
-	for _, a := range h.asked {
-		if a.reply.Correct {
+	for _, a := range h.exchanges {
+		if a.reply.Right {
 			n++
 		}
 	}
 	return n
 }
 
-// turn is how a kind of trouble begins and ends.
-type turn struct{ begin, end func(*local.System, int) }
+// faultKind starts and ends faults of one kind. The index chooses the box, target, rank or halls.
+type faultKind struct{ start, stop func(*local.System, int) }
 
-// A process that runs already is not started again, and in memory nothing can fail to.
-var troubles = map[string]turn{
+// faultKinds has the kinds of faults by name. The error of Start is ignored: a process that runs
+// already is not started again, and a start on a network in memory cannot fail.
+var faultKinds = map[string]faultKind{
 	"kill entry": {
 		func(s *local.System, i int) { entry(s, i).Kill() },
 		func(s *local.System, i int) { _ = entry(s, i).Start() }},
@@ -130,78 +132,78 @@
 	"stop agent": {
 		func(s *local.System, i int) { agent(s, i).Stop() },
 		func(s *local.System, i int) { _ = agent(s, i).Start() }},
-	"refuse link":   linkTrouble(local.Refused),
-	"slow link":     linkTrouble(local.Slow),
-	"silence link":  linkTrouble(local.Silent),
-	"cut store":     storeLink(local.Refused),
-	"silence store": storeLink(local.Silent),
-	"store busy":    storeTrouble(standin.Unavailable, 0),
-	"store silent":  storeTrouble(standin.Unresponsive, 0),
-	"store slow":    storeTrouble(standin.Healthy, 300*time.Millisecond),
-	"store forgets": {
+	"refuse link":   hallLinkFault(local.Refused),
+	"slow link":     hallLinkFault(local.Slow),
+	"silence link":  hallLinkFault(local.Silent),
+	"cut store":     storeLinkFault(local.Refused),
+	"silence store": storeLinkFault(local.Silent),
+	"store busy":    storeFault(standin.Busy, 0),
+	"store silent":  storeFault(standin.Silent, 0),
+	"store slow":    storeFault(standin.Sound, 300*time.Millisecond),
+	"compact store": {
 		func(s *local.System, _ int) { s.Store.Compact() },
 		func(s *local.System, _ int) { s.Store.Compact() }},
-	"target starts again": {
-		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].StartAgain() },
-		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].StartAgain() }},
-	"target full": habit(func(h *standin.Behaviour, on bool) { h.RejectAll = on }),
-	// As its entry may change for another reason: it is listed anew, and still as ready.
-	"list again": {
-		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].ListAgain() },
-		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].ListAgain() }},
-	"target fails":  habit(func(h *standin.Behaviour, on bool) { h.Fail = on }),
-	"answers lost":  habit(func(h *standin.Behaviour, on bool) { h.DropResponse = on }),
-	"target breaks": habit(func(h *standin.Behaviour, on bool) { h.BreakAtEvent = map[bool]int{true: 3}[on] }),
+	"restart target": {
+		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Restart() },
+		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Restart() }},
+	"target full": targetFault(func(h *standin.Habits, on bool) { h.Full = on }),
+	// The entry of a target may be written again for another reason while it is still ready.
+	"relist target": {
+		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Relist() },
+		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Relist() }},
+	"target fails":      targetFault(func(h *standin.Habits, on bool) { h.Fail = on }),
+	"drop answers":      targetFault(func(h *standin.Habits, on bool) { h.Drop = on }),
+	"break off streams": targetFault(func(h *standin.Habits, on bool) { h.BreakAt = map[bool]int{true: 3}[on] }),
 	"late orders": {
-		func(s *local.System, i int) { s.Group().SetOrderDelay(i%group.Ranks, 250*time.Millisecond) },
-		func(s *local.System, i int) { s.Group().SetOrderDelay(i%group.Ranks, 0) }},
+		func(s *local.System, i int) { s.Group().Delay(i%groupShape.Ranks, 250*time.Millisecond) },
+		func(s *local.System, i int) { s.Group().Delay(i%groupShape.Ranks, 0) }},
 	"slow rank": {
-		func(s *local.System, i int) { s.Group().SetSlowdown(i%group.Ranks, 8) },
-		func(s *local.System, i int) { s.Group().SetSlowdown(i%group.Ranks, 1) }},
+		func(s *local.System, i int) { s.Group().Slow(i%groupShape.Ranks, 8) },
+		func(s *local.System, i int) { s.Group().Slow(i%groupShape.Ranks, 1) }},
 }
 
 func entry(s *local.System, i int) *local.EntryBox { return s.Entries()[i%len(s.Entries())] }
 func agent(s *local.System, i int) *local.AgentBox { return s.Agents()[i%len(s.Agents())] }
 
-func linkTrouble(l local.Link) turn {
+func hallLinkFault(l local.Link) faultKind {
 	set := func(s *local.System, i int, l local.Link) {
 		h := s.Halls()
 		s.Network.SetLink(h[i%len(h)], h[(i+1)%len(h)], l)
 	}
-	return turn{
+	return faultKind{
 		func(s *local.System, i int) { set(s, i, l) },
 		func(s *local.System, i int) { set(s, i, local.Open) },
 	}
 }
 
-func storeLink(l local.Link) turn {
+func storeLinkFault(l local.Link) faultKind {
 	set := func(s *local.System, i int, l local.Link) {
 		s.Network.SetLink(s.Halls()[i%len(s.Halls())], local.StoreHall, l)
 	}
-	return turn{
+	return faultKind{
 		func(s *local.System, i int) { set(s, i, l) },
 		func(s *local.System, i int) { set(s, i, local.Open) },
 	}
 }
 
-func storeTrouble(t standin.FailureMode, delay time.Duration) turn {
-	return turn{
-		func(s *local.System, _ int) { s.Store.SetFailureMode(t, delay) },
-		func(s *local.System, _ int) { s.Store.SetFailureMode(standin.Healthy, 0) },
+func storeFault(t standin.Trouble, delay time.Duration) faultKind {
+	return faultKind{
+		func(s *local.System, _ int) { s.Store.SetTrouble(t, delay) },
+		func(s *local.System, _ int) { s.Store.SetTrouble(standin.Sound, 0) },
 	}
 }
 
-func habit(set func(*standin.Behaviour, bool)) turn {
+func targetFault(set func(*standin.Habits, bool)) faultKind {
 	turned := func(s *local.System, i int, on bool) {
 		s.Targets()[i%len(s.Targets())].Target().ChangeBehaviour(func(h *standin.Behaviour) { set(h, on) })
 	}
-	return turn{
+	return faultKind{
 		func(s *local.System, i int) { turned(s, i, true) },
 		func(s *local.System, i int) { turned(s, i, false) },
 	}
 }
 
-// bounds are those of a platform of today.
+// bounds returns the bounds of a current platform.
 func bounds() process.Bounds {
 	b := process.DefaultBounds()
 	b.RetryShare, b.RetrySlack = 0.2, 90
@@ -209,19 +211,19 @@
 	return b
 }
 
-// run runs the scenario, then checks what was seen.
+// run runs the scenario, waits for settleTime, and then checks the system and the history.
 func (sc scenario) run(t *testing.T, check func(*local.System, *history)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		shape := group
-		shape.Ranks = cmp.Or(sc.ranks, group.Ranks)
+		shape := groupShape
+		shape.Ranks = cmp.Or(sc.ranks, groupShape.Ranks)
 		var halls []domain.HallName
 		for i := range cmp.Or(sc.halls, 2) {
 			halls = append(halls, domain.HallName(fmt.Sprintf("hall-%d", i+1)))
 		}
 		sys, err := local.Start(local.Layout{
 			Halls: halls, Entries: cmp.Or(sc.entries, 4), Targets: cmp.Or(sc.targets, 4), Group: &shape,
-			Keys: map[string]string{"org": key}, Bounds: bounds(), Memory: true, Link: sc.link, Log: sc.log,
+			Keys: map[string]string{"org": apiKey}, Bounds: bounds(), Memory: true, LinkMbps: sc.linkMbps, Log: sc.log,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -231,88 +233,88 @@
 				t.Error(err)
 			}
 		}()
-		sc.serving(t, sys)
+		sc.waitUntilServing(t, sys)
 		h := &history{}
 		sc.play(sys, h)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		check(sys, h)
 	})
 }
 
-// settle is how long is waited for what may still run late.
-const settle = 5 * time.Second
+// settleTime is the wait after a scenario for requests that may still run late.
+const settleTime = 5 * time.Second
 
-// serving waits until all boxes serve, and sets the targets' habits.
-func (sc scenario) serving(t *testing.T, sys *local.System) {
+// waitUntilServing sets the habits of the targets and waits until all boxes serve requests.
+func (sc scenario) waitUntilServing(t *testing.T, sys *local.System) {
 	for _, x := range sys.Targets() {
-		sc.behave(x.Target())
+		sc.setHabits(x.Target())
 	}
-	for r := range group.Ranks {
-		sc.behave(sys.Group().Target(r))
+	for r := range groupShape.Ranks {
+		sc.setHabits(sys.Group().Target(r))
 	}
 	for _, e := range sys.Entries() {
-		for tries := 0; !sys.Ask(t.Context(), e, standin.Request{ID: "first", Path: "/again/x", Key: key, Timeout: time.Second}).Correct; tries++ {
+		for tries := 0; !sys.SendRequest(t.Context(), e, standin.Request{ID: "first", Path: "/again/x", Key: apiKey, Within: time.Second}).Right; tries++ {
 			if tries > 100 {
-				t.Fatalf("%s never serves", e.Name())
+				t.Fatalf("%s did not serve a request in %d tries", e.Name(), tries+1)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
 }
 
-func (sc scenario) behave(x *standin.Target) {
-	x.ChangeBehaviour(func(h *standin.Behaviour) {
+func (sc scenario) setHabits(x *standin.Target) {
+	x.Behave(func(h *standin.Habits) {
 		if sc.events > 0 {
 			h.Events = sc.events
 		}
-		if sc.gap > 0 {
-			h.EventGap = sc.gap
+		if sc.eventGap > 0 {
+			h.Gap = sc.eventGap
 		}
-		h.CrashBody, h.CrashDelay = sc.fatal, crashAfter
+		h.Fatal, h.Crash = sc.fatalBody, crashAfter
 	})
 }
 
-// play lets callers, troubles and the operator go at once.
+// play runs the faults, the operator and the callers concurrently.
 func (sc scenario) play(sys *local.System, h *history) {
 	var wg sync.WaitGroup
-	for _, x := range sc.troubles {
-		wg.Go(func() { x.happen(sys) })
+	for _, x := range sc.faults {
+		wg.Go(func() { x.inject(sys) })
 	}
-	if sc.operate != nil {
-		wg.Go(func() { sc.operate(sys, h) })
+	if sc.operator != nil {
+		wg.Go(func() { sc.operator(sys, h) })
 	}
 	end := time.Now().Add(sc.length)
 	for i := range sc.callers {
-		wg.Go(func() { sc.call(sys, h, i, end) })
+		wg.Go(func() { sc.runCaller(sys, h, i, end) })
 	}
 	wg.Wait()
 }
 
-func (x trouble) happen(s *local.System) {
-	kind := troubles[x.kind]
+func (x faultSpec) inject(s *local.System) {
+	kind := faultKinds[x.kind]
 	time.Sleep(x.at)
-	kind.begin(s, x.pick)
-	time.Sleep(x.last)
-	kind.end(s, x.pick)
+	kind.start(s, x.index)
+	time.Sleep(x.lasts)
+	kind.stop(s, x.index)
 }
 
-// call is one caller: it sends one request after another to boxes that run.
-func (sc scenario) call(sys *local.System, h *history, caller int, end time.Time) {
+// runCaller sends the requests of one caller, one after another, to random boxes that are ready.
+func (sc scenario) runCaller(sys *local.System, h *history, caller int, end time.Time) {
 	rnd := rand.New(rand.NewPCG(sc.seed, uint64(caller)))
 	for n := 0; time.Now().Before(end); n++ {
 		e := entry(sys, rnd.IntN(len(sys.Entries())))
 		if e.Ready(context.Background()) {
-			sc.ask(sys, h, e, sc.paths[(caller+n)%len(sc.paths)])
+			sc.send(sys, h, e, sc.paths[(caller+n)%len(sc.paths)])
 		}
 		time.Sleep(time.Duration(20+rnd.IntN(80)) * time.Millisecond)
 	}
 }
 
-func (sc scenario) ask(sys *local.System, h *history, e *local.EntryBox, path string) standin.Reply {
-	q := standin.Request{ID: h.id(), Path: path, Key: key, Body: "text of " + path, Timeout: max(sc.within, 4*time.Second)}
-	a := asked{request: q, box: e.Name(), at: time.Now()}
-	a.reply = sys.Ask(context.Background(), e, q)
-	a.done = time.Now()
+func (sc scenario) send(sys *local.System, h *history, e *local.EntryBox, path string) standin.Reply {
+	q := standin.Request{ID: h.nextID(), Path: path, Key: apiKey, Body: "text of " + path, Within: max(sc.timeout, 4*time.Second)}
+	a := exchange{request: q, box: e.Name(), sentAt: time.Now()}
+	a.reply = sys.SendRequest(context.Background(), e, q)
+	a.repliedAt = time.Now()
 	h.add(a)
 	return a.reply
 }
