--- a/demo/faults.go
+++ b/demo/faults.go
@@ -30,8 +30,8 @@
 		func(s *local.System, i int) { setLink(s, i, local.Silent) },
 		func(s *local.System, i int) { setLink(s, i, local.Open) }},
 	"rank slow": {"a rank becomes slow",
-		func(s *local.System, i int) { s.Group().Slow(i%len(s.Agents()), slowRankFactor) },
-		func(s *local.System, i int) { s.Group().Slow(i%len(s.Agents()), 1) }},
+		func(s *local.System, i int) { s.Group().SetSlowdown(i%len(s.Agents()), slowRankFactor) },
+		func(s *local.System, i int) { s.Group().SetSlowdown(i%len(s.Agents()), 1) }},
 	"agent dies": {"the agent that coordinates the group dies",
 		func(s *local.System, _ int) { s.Agents()[0].Kill() },
 		func(s *local.System, _ int) { _ = s.Agents()[0].Start() }},
@@ -51,7 +51,7 @@
 }
 
 func setFailing(s *local.System, i int, fails bool) {
-	s.Targets()[i%len(s.Targets())].Target().Behave(func(h *standin.Habits) { h.Fail = fails })
+	s.Targets()[i%len(s.Targets())].Target().ChangeBehaviour(func(h *standin.Behaviour) { h.Fail = fails })
 }
 
 // run starts and ends the fault at its times after start, and reports both.
--- a/demo/play.go
+++ b/demo/play.go
@@ -50,8 +50,8 @@
 		total += math.Pow(float64(e+1), -demandExponent)
 	}
 	return standin.GroupShape{
-		Name: "g0", Ranks: w.Ranks, Layers: layers, Experts: experts, Places: max(slots, experts/w.Ranks+1), Staging: stagingSlots,
-		Step: stepTime, Copy: copyTime, Share: expertShare,
+		Name: "g0", Ranks: w.Ranks, Layers: layers, Experts: experts, Slots: max(slots, experts/w.Ranks+1), Staging: stagingSlots,
+		StepTime: stepTime, CopyTime: copyTime, ExpertShare: expertShare,
 		Demand: func(at time.Time, layer, expert int) float64 {
 			shifts := int(at.UnixNano() / int64(w.DemandShiftInterval.Duration()))
 			index := order[layer][(expert+shifts%experts*7+experts*7)%experts]
@@ -177,11 +177,11 @@
 // sendRequest sends a request to a box that reports that it is ready, as the platform's balancer
 // would, and once more if the request did not run and the answer states when to retry.
 func (w Workload) sendRequest(s *local.System, r *Result, kind string, index int, id string) {
-	q := standin.Request{ID: id, Path: paths[kind], Key: apiKey, Body: "text", Within: callerTimeout}
+	q := standin.Request{ID: id, Path: paths[kind], Key: apiKey, Body: "text", Timeout: callerTimeout}
 	reply := s.SendRequest(context.Background(), readyBox(s, index), q)
-	if reply.NotRun() && reply.Again > 0 {
+	if reply.NotRun() && reply.RetryAfter > 0 {
 		r.addRetry()
-		time.Sleep(reply.Again)
+		time.Sleep(reply.RetryAfter)
 		q.ID += "-again"
 		reply = s.SendRequest(context.Background(), readyBox(s, index+1), q)
 	}
--- a/demo/result.go
+++ b/demo/result.go
@@ -28,7 +28,7 @@
 	sent         map[string]int
 	wrongReplies []string // replies that belong to another request or are damaged
 	retriedLater int      // callers that retried at the time stated in a refusal
-	figures      standin.Figures
+	figures      standin.Stats
 	firstSkew    float64 // skew with the map that a group is formed with
 	skewBound    float64
 	report       *logs.Report
@@ -48,11 +48,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent[kind]++
-	if reply.Right {
+	if reply.Correct {
 		r.served[kind]++
 	}
-	if reply.Wrong != "" {
-		r.wrongReplies = append(r.wrongReplies, reply.Wrong)
+	if reply.Mismatch != "" {
+		r.wrongReplies = append(r.wrongReplies, reply.Mismatch)
 	}
 }
 
@@ -60,7 +60,7 @@
 func (r *Result) collect(s *local.System, log *logBuffer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.figures = s.Group().Figures()
+	r.figures = s.Group().Stats()
 	r.firstSkew, r.skewBound = r.skews()
 	log.mu.Lock()
 	defer log.mu.Unlock()
@@ -83,15 +83,15 @@
 			initial[layer][e%s.Ranks] = append(initial[layer][e%s.Ranks], e)
 		}
 	}
-	shape := rebalance.Shape{Ranks: s.Ranks, Layers: s.Layers, Experts: s.Experts, Slots: s.Places}
+	shape := rebalance.Shape{Ranks: s.Ranks, Layers: s.Layers, Experts: s.Experts, Slots: s.Slots}
 	return rebalance.Planner{Shape: shape}.Plan(initial, load).SkewBefore, rebalance.SkewLowerBound(shape, load)
 }
 
 // Violation returns an error if an invariant was violated: a step ran on two maps, or a reply
 // was not the answer to its own request.
 func (r *Result) Violation() error {
-	if r.figures.Broken != "" {
-		return fmt.Errorf("a step was begun on two maps: %s", r.figures.Broken)
+	if r.figures.Violation != "" {
+		return fmt.Errorf("a step was begun on two maps: %s", r.figures.Violation)
 	}
 	if len(r.wrongReplies) > 0 {
 		return fmt.Errorf("%d answers were not their requests' own, the first: %s", len(r.wrongReplies), r.wrongReplies[0])
@@ -120,8 +120,8 @@
 	_ = w.Flush() // output to a closed terminal is dropped
 	f := r.figures
 	printf(out, "\nThe group of %d ranks: load of the hottest over that of even ranks %.2f on average over %d steps;\n", r.shape.Ranks, f.Skew, f.Steps)
-	printf(out, "with its first map kept it would be %.2f, and no map can be under %.2f with %d places a rank.\n", r.firstSkew, r.skewBound, r.shape.Places)
-	printf(out, "For that %d experts were copied and maps changed (%s); held %v.\n", f.Copies, changes(r.report), f.HeldFor.Round(time.Millisecond))
+	printf(out, "with its first map kept it would be %.2f, and no map can be under %.2f with %d places a rank.\n", r.firstSkew, r.skewBound, r.shape.Slots)
+	printf(out, "For that %d experts were copied and maps changed (%s); held %v.\n", f.Copies, changes(r.report), f.HoldTime.Round(time.Millisecond))
 }
 
 func changes(r *logs.Report) string {
--- a/local/boxes.go
+++ b/local/boxes.go
@@ -174,7 +174,7 @@
 	t.host = t.system.Network.NewHost(t.hall)
 	t.address = fmt.Sprintf("%s:%d", t.system.Network.allocateIP(), enginePort)
 	t.target = standin.NewTarget(t.id, PlainService, t.system.recordRun)
-	t.target.Bear(time.Now())
+	t.target.SetBorn(time.Now())
 	t.target.OnCrash(t.crash)
 	if err := t.system.serve(t.host, t.address, t.target); err != nil {
 		return err
--- a/local/fatal_test.go
+++ b/local/fatal_test.go
@@ -48,7 +48,7 @@
 			e = entry(s, c.chooseBox(try))
 		}
 		if e.Running() {
-			q := standin.Request{ID: h.nextID(), Path: c.path, Key: apiKey, Body: fatalText, Within: c.timeout}
+			q := standin.Request{ID: h.nextID(), Path: c.path, Key: apiKey, Body: fatalText, Timeout: c.timeout}
 			h.add(exchange{request: q, box: e.Name(), sentAt: time.Now(), reply: s.SendRequest(context.Background(), e, q)})
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -151,7 +151,7 @@
 		for _, a := range h.exchanges {
 			switch {
 			case a.request.Body == fatalText:
-			case a.reply.Right:
+			case a.reply.Correct:
 				served++
 			default:
 				failed++
--- a/local/invariant_test.go
+++ b/local/invariant_test.go
@@ -141,8 +141,8 @@
 func TestInvariantOwnResponse(t *testing.T) {
 	checkInvariant(t, busyScenario(), func(t reporter, _ *local.System, h *history) {
 		for _, a := range h.exchanges {
-			if a.reply.Wrong != "" {
-				t.Errorf("%s on %s: %s", a.request.ID, a.request.Path, a.reply.Wrong)
+			if a.reply.Mismatch != "" {
+				t.Errorf("%s on %s: %s", a.request.ID, a.request.Path, a.reply.Mismatch)
 			}
 		}
 	})
@@ -318,8 +318,8 @@
 					t.Errorf("only %d requests were served, fewer than there are callers", h.served())
 				}
 				for _, a := range h.exchanges {
-					if !a.reply.Right && !a.reply.Refused() {
-						t.Errorf("%s on %s through %s was neither served nor refused: status %d, wrong: %q, error: %v", a.request.ID, a.request.Path, a.box, a.reply.Status, a.reply.Wrong, a.reply.Err)
+					if !a.reply.Correct && !a.reply.ConnectionRefused() {
+						t.Errorf("%s on %s through %s was neither served nor refused: status %d, wrong: %q, error: %v", a.request.ID, a.request.Path, a.box, a.reply.Status, a.reply.Mismatch, a.reply.Err)
 					}
 				}
 			})
@@ -363,7 +363,7 @@
 	request := func(v int) standin.Reply {
 		return scenario{timeout: time.Second}.send(s, h, e, standin.VersionPath(v))
 	}
-	if request(version).Right {
+	if request(version).Correct {
 		served[start] = max(served[start], version)
 	}
 	if before := served[start]; before > 0 && before < version && request(before).Status == 404 && e.StartID() == start {
@@ -380,7 +380,7 @@
 		}
 		time.Sleep(bounds().ConfigApply.Std())
 		for _, e := range s.Entries() {
-			if r := (scenario{}).send(s, h, e, standin.VersionPath(version)); !r.Right {
+			if r := (scenario{}).send(s, h, e, standin.VersionPath(version)); !r.Correct {
 				h.addViolation("%s answers %d on the route of version %d after the bound on applying it", e.Name(), r.Status, version)
 			}
 		}
--- a/local/limit_test.go
+++ b/local/limit_test.go
@@ -261,7 +261,7 @@
 			case took > maxDelay:
 				t.Errorf("%s was refused after %v, want at most %v", a.request.ID, took, maxDelay)
 			default:
-				retryAfter = append(retryAfter, a.reply.Again)
+				retryAfter = append(retryAfter, a.reply.RetryAfter)
 			}
 		}
 		accepted := 4 * perSecond * (limitEnd - bounds().Contact.Std()).Seconds()
--- a/local/rest_test.go
+++ b/local/rest_test.go
@@ -73,7 +73,7 @@
 
 // maxRequestsDuringRest returns the largest number of requests that one box sent a target during a
 // rest that the target had asked it for, not counting restGracePeriod.
-func maxRequestsDuringRest(rejected []standin.Turned, boxes map[string]string) int {
+func maxRequestsDuringRest(rejected []standin.Rejection, boxes map[string]string) int {
 	highest := 0
 	for _, first := range rejected {
 		n := 0
@@ -112,7 +112,7 @@
 			sc.run(t, func(s *local.System, h *history) {
 				boxes, total := boxByRequest(h), 0
 				for _, x := range tc.targets(s) {
-					rejected := x.Turned()
+					rejected := x.Rejections()
 					total += len(rejected)
 					if n := maxRequestsDuringRest(rejected, boxes); n > maxDuringRest {
 						t.Errorf("a target asked a box for %v of rest and received %d requests from it in that time, want at most %d", rest, n, maxDuringRest)
@@ -142,8 +142,8 @@
 				continue
 			}
 			refused++
-			if a.reply.Again <= 0 || a.reply.Again > rest+spread {
-				t.Errorf("%s: refusal asks to retry after %v, want at most %v", a.request.ID, a.reply.Again, rest+spread)
+			if a.reply.RetryAfter <= 0 || a.reply.RetryAfter > rest+spread {
+				t.Errorf("%s: refusal asks to retry after %v, want at most %v", a.request.ID, a.reply.RetryAfter, rest+spread)
 			}
 			if took := a.repliedAt.Sub(a.sentAt); took > spread {
 				t.Errorf("%s was refused after %v, want at most %v", a.request.ID, took, spread)
@@ -167,7 +167,7 @@
 	sc.run(t, func(s *local.System, h *history) {
 		rejected, start := 0, h.exchanges[0].sentAt
 		for _, x := range plainTargets(rejecting)(s) {
-			rejected += len(x.Turned())
+			rejected += len(x.Rejections())
 		}
 		asked, refused := 0, 0
 		for _, a := range h.exchanges {
@@ -236,7 +236,7 @@
 			sc := busyScenario()
 			sc.seed, sc.callers = 1, 0
 			sc.operator = func(s *local.System, h *history) {
-				s.Store.SetTrouble(standin.Silent, 0)
+				s.Store.SetFailureMode(standin.Unresponsive, 0)
 				x := tc.leave(s)
 				x.ChangeBehaviour(func(h *standin.Behaviour) { h.Leaving = true })
 				leaver = x.ID()
--- a/local/restart_test.go
+++ b/local/restart_test.go
@@ -28,7 +28,7 @@
 				t.Error(err)
 			}
 			time.Sleep(soon)
-			q := standin.Request{ID: fmt.Sprintf("again-%d", i), Path: "/again/x", Key: apiKey, Within: time.Second}
+			q := standin.Request{ID: fmt.Sprintf("again-%d", i), Path: "/again/x", Key: apiKey, Timeout: time.Second}
 			statuses = append(statuses, s.SendRequest(context.Background(), box, q).Status)
 			time.Sleep(time.Second)
 		}
@@ -81,7 +81,7 @@
 			var wg sync.WaitGroup
 			for i := range callers {
 				wg.Go(func() {
-					q := standin.Request{ID: fmt.Sprintf("%s-%d", name, i), Path: "/again/x", Key: apiKey, Within: within}
+					q := standin.Request{ID: fmt.Sprintf("%s-%d", name, i), Path: "/again/x", Key: apiKey, Timeout: within}
 					if got := s.SendRequest(context.Background(), box, q); got.Status == 0 {
 						t.Errorf("%s: caller %d got no answer in time: %v", name, i, got.Err)
 					}
--- a/local/restore_test.go
+++ b/local/restore_test.go
@@ -96,12 +96,12 @@
 // operate restores the store, changes the configuration, and checks that the last version is in force
 // at all boxes within bounds().ConfigApply. It does so for each restore of the case.
 func (c restoreCase) operate(s *local.System, h *history) {
-	s.Store.SetTrouble(standin.Sound, storeDelay)
+	s.Store.SetFailureMode(standin.Healthy, storeDelay)
 	if c.header != nil {
 		s.Store.SetEraHeader(c.header)
 	}
 	if c.silentWatches {
-		s.Store.HoldWatches("config")
+		s.Store.HangWatches("config")
 	}
 	served := map[string]int{} // version, by StartID of the box
 	if c.cutHall {
@@ -121,7 +121,7 @@
 			h.addViolation("%d boxes made %d calls to the store, want at most %d each", len(s.Entries()), calls, maxCallsPerBox)
 		}
 		for _, e := range s.Entries() {
-			if r := (scenario{}).send(s, h, e, standin.VersionPath(version)); !r.Right {
+			if r := (scenario{}).send(s, h, e, standin.VersionPath(version)); !r.Correct {
 				h.addViolation("%s answers %d on the route of version %d after the bound on applying it", e.Name(), r.Status, version)
 			}
 			served[e.StartID()] = version
@@ -132,7 +132,7 @@
 // restore takes a backup of the store, writes versions that are then lost, and restores the backup.
 // After it, boxes must still have the versions that they have served.
 func (c restoreCase) restore(s *local.System, h *history, served map[string]int) {
-	backup := s.Store.Copy()
+	backup := s.Store.Snapshot()
 	version := 0
 	for range c.lostVersions {
 		version = c.configure(s, h)
@@ -143,7 +143,7 @@
 			served[e.StartID()] = version
 		}
 	}
-	s.Store.SetTrouble(standin.Silent, 0)
+	s.Store.SetFailureMode(standin.Unresponsive, 0)
 	time.Sleep(c.outage)
 	if c.restartsBox {
 		e := s.Entries()[0]
@@ -156,11 +156,11 @@
 			_ = s.Targets()[0].Relist() // the store accepts every object of the tests
 		}
 	}
-	s.Store.SetTrouble(standin.Sound, storeDelay)
+	s.Store.SetFailureMode(standin.Healthy, storeDelay)
 	time.Sleep(c.outage)
 	for _, e := range s.Entries() {
 		before := served[e.StartID()]
-		if before > 0 && !(scenario{}).send(s, h, e, standin.VersionPath(before)).Right {
+		if before > 0 && !(scenario{}).send(s, h, e, standin.VersionPath(before)).Correct {
 			h.addViolation("%s served the route of version %d and does not serve it after the restore", e.Name(), before)
 		}
 	}
@@ -211,23 +211,23 @@
 			sc := busyScenario()
 			sc.paths, sc.length, sc.seed = []string{"/again/x", "/once/x"}, 16*time.Second, 1
 			sc.operator = func(s *local.System, _ *history) {
-				s.Store.SetTrouble(standin.Sound, storeDelay)
+				s.Store.SetFailureMode(standin.Healthy, storeDelay)
 				if tc.cut {
 					s.Network.SetLink(s.Halls()[1], local.StoreHall, local.Refused)
 				}
 				time.Sleep(time.Second)
-				backup := s.Store.Copy()
+				backup := s.Store.Snapshot()
 				tc.before(s)
 				left = time.Now()
 				time.Sleep(2 * time.Second)
-				s.Store.SetTrouble(standin.Busy, storeDelay)
+				s.Store.SetFailureMode(standin.Unavailable, storeDelay)
 				time.Sleep(time.Second)
 				s.Store.Restore(backup)
 				tc.at(s)
 				if !tc.left {
 					left = time.Now()
 				}
-				s.Store.SetTrouble(standin.Sound, storeDelay)
+				s.Store.SetFailureMode(standin.Healthy, storeDelay)
 				restored = time.Now()
 				time.Sleep(time.Second)
 				tc.later(s)
@@ -278,10 +278,10 @@
 			sc := busyScenario()
 			sc.seed, sc.length, sc.paths, sc.fatalBody = 1, 24*time.Second, []string{"/again/y"}, fatalText
 			sc.operator = func(s *local.System, h *history) {
-				s.Store.SetTrouble(standin.Sound, storeDelay)
-				backup := s.Store.Copy()
+				s.Store.SetFailureMode(standin.Healthy, storeDelay)
+				backup := s.Store.Snapshot()
 				e := entry(s, 0)
-				s.SendRequest(context.Background(), e, standin.Request{ID: h.nextID(), Path: "/again/x", Key: apiKey, Body: fatalText, Within: 2 * time.Second})
+				s.SendRequest(context.Background(), e, standin.Request{ID: h.nextID(), Path: "/again/x", Key: apiKey, Body: fatalText, Timeout: 2 * time.Second})
 				time.Sleep(2 * time.Second)
 				if len(s.Store.Names("quarantine")) == 0 {
 					h.addViolation("no quarantine was written to the store, so the run tests nothing")
@@ -308,7 +308,7 @@
 				killAll(s)
 				time.Sleep(3 * time.Second)
 				before := len(s.Runs())
-				s.SendRequest(context.Background(), entry(s, 1), standin.Request{ID: h.nextID(), Path: "/again/x", Key: apiKey, Body: fatalText, Within: 2 * time.Second})
+				s.SendRequest(context.Background(), entry(s, 1), standin.Request{ID: h.nextID(), Path: "/again/x", Key: apiKey, Body: fatalText, Timeout: 2 * time.Second})
 				for _, r := range s.Runs()[before:] {
 					if r.Body == fatalText {
 						h.addViolation("%s ran the quarantined request again", r.Target)
--- a/local/scenario_test.go
+++ b/local/scenario_test.go
@@ -23,8 +23,8 @@
 
 // groupShape is the shape of a small group of ranks. The demand moves to other experts every 3 s.
 var groupShape = standin.GroupShape{
-	Name: "g0", Ranks: 3, Layers: 2, Experts: 12, Places: 6, Staging: 2,
-	Step: 30 * time.Millisecond, Copy: 50 * time.Millisecond, Share: 0.85,
+	Name: "g0", Ranks: 3, Layers: 2, Experts: 12, Slots: 6, Staging: 2,
+	StepTime: 30 * time.Millisecond, CopyTime: 50 * time.Millisecond, ExpertShare: 0.85,
 	Demand: func(at time.Time, layer, expert int) float64 {
 		const experts, shiftInterval = 12, 3 * time.Second
 		hot := (int(at.UnixNano()/int64(shiftInterval)) + layer) % experts
@@ -107,7 +107,7 @@
 func (h *history) served() int {
 	n := 0
 	for _, a := range h.exchanges {
-		if a.reply.Right {
+		if a.reply.Correct {
 			n++
 		}
 	}
@@ -137,29 +137,29 @@
 	"silence link":  hallLinkFault(local.Silent),
 	"cut store":     storeLinkFault(local.Refused),
 	"silence store": storeLinkFault(local.Silent),
-	"store busy":    storeFault(standin.Busy, 0),
-	"store silent":  storeFault(standin.Silent, 0),
-	"store slow":    storeFault(standin.Sound, 300*time.Millisecond),
+	"store busy":    storeFault(standin.Unavailable, 0),
+	"store silent":  storeFault(standin.Unresponsive, 0),
+	"store slow":    storeFault(standin.Healthy, 300*time.Millisecond),
 	"compact store": {
 		func(s *local.System, _ int) { s.Store.Compact() },
 		func(s *local.System, _ int) { s.Store.Compact() }},
 	"restart target": {
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Restart() },
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Restart() }},
-	"target full": targetFault(func(h *standin.Habits, on bool) { h.Full = on }),
+	"target full": targetFault(func(h *standin.Behaviour, on bool) { h.RejectAll = on }),
 	// The entry of a target may be written again for another reason while it is still ready.
 	"relist target": {
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Relist() },
 		func(s *local.System, i int) { _ = s.Targets()[i%len(s.Targets())].Relist() }},
-	"target fails":      targetFault(func(h *standin.Habits, on bool) { h.Fail = on }),
-	"drop answers":      targetFault(func(h *standin.Habits, on bool) { h.Drop = on }),
-	"break off streams": targetFault(func(h *standin.Habits, on bool) { h.BreakAt = map[bool]int{true: 3}[on] }),
+	"target fails":      targetFault(func(h *standin.Behaviour, on bool) { h.Fail = on }),
+	"drop answers":      targetFault(func(h *standin.Behaviour, on bool) { h.DropResponse = on }),
+	"break off streams": targetFault(func(h *standin.Behaviour, on bool) { h.BreakAtEvent = map[bool]int{true: 3}[on] }),
 	"late orders": {
-		func(s *local.System, i int) { s.Group().Delay(i%groupShape.Ranks, 250*time.Millisecond) },
-		func(s *local.System, i int) { s.Group().Delay(i%groupShape.Ranks, 0) }},
+		func(s *local.System, i int) { s.Group().SetOrderDelay(i%groupShape.Ranks, 250*time.Millisecond) },
+		func(s *local.System, i int) { s.Group().SetOrderDelay(i%groupShape.Ranks, 0) }},
 	"slow rank": {
-		func(s *local.System, i int) { s.Group().Slow(i%groupShape.Ranks, 8) },
-		func(s *local.System, i int) { s.Group().Slow(i%groupShape.Ranks, 1) }},
+		func(s *local.System, i int) { s.Group().SetSlowdown(i%groupShape.Ranks, 8) },
+		func(s *local.System, i int) { s.Group().SetSlowdown(i%groupShape.Ranks, 1) }},
 }
 
 func entry(s *local.System, i int) *local.EntryBox { return s.Entries()[i%len(s.Entries())] }
@@ -186,14 +186,14 @@
 	}
 }
 
-func storeFault(t standin.Trouble, delay time.Duration) faultKind {
+func storeFault(t standin.FailureMode, delay time.Duration) faultKind {
 	return faultKind{
-		func(s *local.System, _ int) { s.Store.SetTrouble(t, delay) },
-		func(s *local.System, _ int) { s.Store.SetTrouble(standin.Sound, 0) },
+		func(s *local.System, _ int) { s.Store.SetFailureMode(t, delay) },
+		func(s *local.System, _ int) { s.Store.SetFailureMode(standin.Healthy, 0) },
 	}
 }
 
-func targetFault(set func(*standin.Habits, bool)) faultKind {
+func targetFault(set func(*standin.Behaviour, bool)) faultKind {
 	turned := func(s *local.System, i int, on bool) {
 		s.Targets()[i%len(s.Targets())].Target().ChangeBehaviour(func(h *standin.Behaviour) { set(h, on) })
 	}
@@ -253,7 +253,7 @@
 		sc.setHabits(sys.Group().Target(r))
 	}
 	for _, e := range sys.Entries() {
-		for tries := 0; !sys.SendRequest(t.Context(), e, standin.Request{ID: "first", Path: "/again/x", Key: apiKey, Within: time.Second}).Right; tries++ {
+		for tries := 0; !sys.SendRequest(t.Context(), e, standin.Request{ID: "first", Path: "/again/x", Key: apiKey, Timeout: time.Second}).Correct; tries++ {
 			if tries > 100 {
 				t.Fatalf("%s did not serve a request in %d tries", e.Name(), tries+1)
 			}
@@ -263,14 +263,14 @@
 }
 
 func (sc scenario) setHabits(x *standin.Target) {
-	x.Behave(func(h *standin.Habits) {
+	x.ChangeBehaviour(func(h *standin.Behaviour) {
 		if sc.events > 0 {
 			h.Events = sc.events
 		}
 		if sc.eventGap > 0 {
-			h.Gap = sc.eventGap
+			h.EventGap = sc.eventGap
 		}
-		h.Fatal, h.Crash = sc.fatalBody, crashAfter
+		h.CrashBody, h.CrashDelay = sc.fatalBody, crashAfter
 	})
 }
 
@@ -311,7 +311,7 @@
 }
 
 func (sc scenario) send(sys *local.System, h *history, e *local.EntryBox, path string) standin.Reply {
-	q := standin.Request{ID: h.nextID(), Path: path, Key: apiKey, Body: "text of " + path, Within: max(sc.timeout, 4*time.Second)}
+	q := standin.Request{ID: h.nextID(), Path: path, Key: apiKey, Body: "text of " + path, Timeout: max(sc.timeout, 4*time.Second)}
 	a := exchange{request: q, box: e.Name(), sentAt: time.Now()}
 	a.reply = sys.SendRequest(context.Background(), e, q)
 	a.repliedAt = time.Now()
--- a/local/system.go
+++ b/local/system.go
@@ -157,7 +157,7 @@
 		a := &AgentBox{system: s, settings: process.DefaultAgentSettings()}
 		a.settings.Box, a.settings.Hall, a.settings.Engine = fmt.Sprintf("rank-%d", r), string(hall), engine
 		a.settings.Peers, a.settings.Bounds = fmt.Sprintf("%s:%d", ip, agentPort), s.layout.Bounds
-		a.settings.Link = cmp.Or(s.layout.LinkMbps, 1000)
+		a.settings.LinkMbps = cmp.Or(s.layout.LinkMbps, 1000)
 		s.agents = append(s.agents, a)
 		if err := a.Start(); err != nil {
 			return err
@@ -215,7 +215,7 @@
 
 // SendRequest sends a caller's request to the box and returns the reply.
 func (s *System) SendRequest(ctx context.Context, e *EntryBox, q standin.Request) standin.Reply {
-	return standin.Ask(ctx, s.client, "http://"+e.settings.Callers, q)
+	return standin.Send(ctx, s.client, "http://"+e.settings.Callers, q)
 }
 
 // telemetryFor returns the log and the metrics of a process.
@@ -241,7 +241,7 @@
 // Close stops all processes. It returns the errors of processes that ended by themselves.
 func (s *System) Close() error {
 	s.Network.openAll()
-	s.Store.SetTrouble(standin.Sound, time.Millisecond) // calls that take no time could be repeated for ever
+	s.Store.SetFailureMode(standin.Healthy, time.Millisecond) // calls that take no time could be repeated for ever
 	var stops sync.WaitGroup
 	for _, e := range s.entries {
 		stops.Go(e.Stop)
