--- a/demo/play.go
+++ b/demo/play.go
@@ -33,7 +33,7 @@
 const (
 	layers, experts, slots, stagingSlots = 4, 32, 6, 2
 	stepTime, copyTime                   = 20 * time.Millisecond, 60 * time.Millisecond
-	expertShare                          = 0.85
+	expertsWorkShare                     = 0.85
 	// demandExponent is the exponent of the power law by which the demand for experts falls.
 	demandExponent = 1.0
 )
@@ -51,7 +51,7 @@
 	}
 	return standin.GroupShape{
 		Name: "g0", Ranks: w.Ranks, Layers: layers, Experts: experts, Slots: max(slots, experts/w.Ranks+1), Staging: stagingSlots,
-		StepTime: stepTime, CopyTime: copyTime, ExpertShare: expertShare,
+		StepTime: stepTime, CopyTime: copyTime, ExpertShare: expertsWorkShare,
 		Demand: func(at time.Time, layer, expert int) float64 {
 			shifts := int(at.UnixNano() / int64(w.DemandShiftInterval.Duration()))
 			index := order[layer][(expert+shifts%experts*7+experts*7)%experts]
