--- a/cmd/clovertrail-soak/main.go
+++ b/cmd/clovertrail-soak/main.go
@@ -28,21 +28,21 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	cmd := &cli.Command{
-		Name: "clovertrail-soak", Usage: "break what is round entry boxes, and check the promises",
+		Name: "clovertrail-soak", Usage: "inject faults around entry boxes, and check the guarantees",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "program", Value: "target/clovertrail-node", Usage: "the built `FILE` of the boxes"},
-			&cli.Uint64Flag{Name: "first", Value: 1, Usage: "the first seed"},
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds"},
-			&cli.IntFlag{Name: "at-once", Value: 4, Usage: "how many runs at once"},
-			&cli.IntFlag{Name: "boxes", Usage: "how many entry boxes a run has"},
-			&cli.IntFlag{Name: "targets", Usage: "how many targets a run has"},
-			&cli.IntFlag{Name: "callers", Usage: "how many callers a run has"},
-			&cli.BoolFlag{Name: "fatal", Usage: "a caller's request crashes each target that runs it"},
-			&cli.BoolFlag{Name: "asks", Usage: "targets ask for rest, and say with their answers that they are leaving"},
-			&cli.BoolFlag{Name: "limits", Usage: "targets name with their answers how much they take from all boxes together"},
-			&cli.BoolFlag{Name: "restores", Usage: "the store comes back from older copies"},
-			&cli.DurationFlag{Name: "for", Value: 30 * time.Second, Usage: "how long a run takes"},
-			&cli.StringFlag{Name: "logs", Value: filepath.Join(os.TempDir(), "clovertrail-soak"), Usage: "the `FOLDER` of settings and logs"},
+			&cli.StringFlag{Name: "program", Value: "target/clovertrail-node", Usage: "executable `FILE` of clovertrail-node"},
+			&cli.Uint64Flag{Name: "first", Value: 1, Usage: "first seed"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of seeds; each run uses the next one"},
+			&cli.IntFlag{Name: "at-once", Value: 4, Usage: "maximum number of concurrent runs"},
+			&cli.IntFlag{Name: "boxes", Usage: "number of entry boxes in a run"},
+			&cli.IntFlag{Name: "targets", Usage: "number of targets in a run"},
+			&cli.IntFlag{Name: "callers", Usage: "number of callers in a run"},
+			&cli.BoolFlag{Name: "fatal", Usage: "send requests that crash each target that runs them"},
+			&cli.BoolFlag{Name: "asks", Usage: "make targets request rest, and report in their responses that they are leaving"},
+			&cli.BoolFlag{Name: "limits", Usage: "make targets state in their responses a limit for all boxes together"},
+			&cli.BoolFlag{Name: "restores", Usage: "restore the store from older backups"},
+			&cli.DurationFlag{Name: "for", Value: 30 * time.Second, Usage: "duration of a run"},
+			&cli.StringFlag{Name: "logs", Value: filepath.Join(os.TempDir(), "clovertrail-soak"), Usage: "`FOLDER` for settings files and logs"},
 		},
 		Action: run,
 	}
@@ -85,16 +85,16 @@
 			violated++
 		}
 	}
-	fmt.Printf("%d seeds, %d with a promise broken\n", seeds, violated)
+	fmt.Printf("%d seeds, %d with violations\n", seeds, violated)
 	if violated > 0 {
-		return fmt.Errorf("%d of %d seeds broke a promise", violated, seeds)
+		return fmt.Errorf("guarantees were violated with %d of %d seeds", violated, seeds)
 	}
 	return nil
 }
 
 // printReport prints a report, and returns true if a guarantee was violated.
 func printReport(r soak.Report) bool {
-	fmt.Printf("seed %d: %d requests, %d served, %d acts, %d violations\n", r.Seed, r.Requests, r.Served, len(r.Actions), len(r.Violations))
+	fmt.Printf("seed %d: %d requests, %d served, %d actions, %d violations\n", r.Seed, r.Requests, r.Served, len(r.Actions), len(r.Violations))
 	for _, x := range r.LimitSummaries {
 		fmt.Println("  ", x)
 	}
--- a/soak/box.go
+++ b/soak/box.go
@@ -116,7 +116,7 @@
 	defer b.mu.Unlock()
 	if b.restart && b.cmd == cmd {
 		if err := b.startLocked(); err != nil {
-			_, _ = fmt.Fprintln(b.log, "not started:", err) // requests to the box then fail, which the report of the run shows
+			_, _ = fmt.Fprintf(b.log, "restart of %s failed: %v\n", b.name, err) // requests to the box then fail, which the report of the run shows
 		}
 	}
 }
--- a/soak/environment.go
+++ b/soak/environment.go
@@ -150,7 +150,7 @@
 		}
 		e.boxes = append(e.boxes, b)
 		if err := b.start(); err != nil {
-			return err
+			return fmt.Errorf("start of %s: %w", b.name, err)
 		}
 	}
 	return nil
--- a/soak/fatal_requests.go
+++ b/soak/fatal_requests.go
@@ -89,6 +89,6 @@
 		}
 	}
 	if late > maxLateRuns {
-		violate("crashing requests", "one was run %d times, %d of them too late", len(runs), late)
+		violate("crashing requests", "the fatal request ran %d times, %d of them after the time limit for its quarantine", len(runs), late)
 	}
 }
--- a/soak/recorder.go
+++ b/soak/recorder.go
@@ -155,17 +155,17 @@
 	runs := rec.runs[ex.request.ID]
 	switch {
 	case ex.reply.Mismatch != "":
-		violate("own answer", "%s by %s: %s", ex.request.ID, ex.box, ex.reply.Mismatch)
+		violate("own answer", "request %s to %s: %s", ex.request.ID, ex.box, ex.reply.Mismatch)
 	case ex.reply.NotRun() && len(runs) > 0:
-		violate("not run", "%s by %s: answered %d, ran at %s", ex.request.ID, ex.box, ex.reply.Status, runs[0].Target)
+		violate("not run", "request %s to %s: status %d means that it did not run, but it ran on %s", ex.request.ID, ex.box, ex.reply.Status, runs[0].Target)
 	}
 	checkRetryAfter(ex, violate)
 	if ex.atMostOnce && len(runs) > 1 {
-		violate("at most once", "%s by %s: ran at %s and %s", ex.request.ID, ex.box, runs[0].Target, runs[1].Target)
+		violate("at most once", "request %s to %s ran on %s and on %s", ex.request.ID, ex.box, runs[0].Target, runs[1].Target)
 	}
 	for _, r := range runs {
 		if r.KeyForwarded || r.Organisation != ex.organisation {
-			violate("keys", "%s by %s: the target saw the organisation %q, key shown: %v", ex.request.ID, ex.box, r.Organisation, r.KeyForwarded)
+			violate("keys", "request %s to %s: target received organisation %q, API key forwarded: %v", ex.request.ID, ex.box, r.Organisation, r.KeyForwarded)
 		}
 	}
 	if ex.reply.Err == nil || ex.reply.ConnectionRefused() || ex.reply.TimedOut() {
@@ -173,7 +173,7 @@
 	}
 	for _, s := range rec.stops[ex.box] {
 		if ex.sentAt.Before(s.to) && ex.endedAt.After(s.from) && rec.faultFree(ex.box, ex.sentAt, ex.endedAt, scopeBox, scopeTarget) {
-			violate("planned stop", "%s by %s: %v, %v after the signal", ex.request.ID, ex.box, ex.reply.Err, ex.endedAt.Sub(s.from))
+			violate("planned stop", "request %s to %s failed %v after the stop signal: %v", ex.request.ID, ex.box, ex.endedAt.Sub(s.from), ex.reply.Err)
 		}
 	}
 }
@@ -183,7 +183,7 @@
 func checkRetryAfter(ex exchange, violate violationFunc) {
 	full := ex.reply.Status == http.StatusServiceUnavailable || ex.reply.Status == http.StatusTooManyRequests
 	if full && ex.reply.RetryAfter <= 0 {
-		violate("come back", "%s by %s: answered %d without saying when to come again", ex.request.ID, ex.box, ex.reply.Status)
+		violate("come back", "request %s to %s: status %d without a time to retry after", ex.request.ID, ex.box, ex.reply.Status)
 	}
 }
 
@@ -194,7 +194,7 @@
 		at, draining := rec.drainingSince[r.Target]
 		bound := at.Add(drainBound + timingSlack)
 		if draining && r.At.After(bound) && rec.faultFree(ex.box, at, r.At, scopeBox, scopeBoxStore, scopeStore) {
-			violate("draining", "%s by %s ran at %s %v after that was leaving", ex.request.ID, ex.box, r.Target, r.At.Sub(at))
+			violate("draining", "request %s to %s ran on %s %v after the target's entry changed to draining", ex.request.ID, ex.box, r.Target, r.At.Sub(at))
 		}
 	}
 }
@@ -221,10 +221,10 @@
 			}
 		case ex.reply.Status == 404:
 			if k := newest[key]; k.routeVersion >= ex.routeVersion && k.endedAt.Before(ex.sentAt) {
-				violate("configuration", "%s went back before version %d after showing %d", ex.box, ex.routeVersion, k.routeVersion)
+				violate("configuration", "%s returned 404 for a route of version %d after serving a route of version %d", ex.box, ex.routeVersion, k.routeVersion)
 			}
 			if at := rec.configStoredAt[ex.routeVersion]; ex.sentAt.After(at.Add(configApplyBound+timingSlack)) && rec.faultFree(ex.box, at, ex.endedAt, scopeBox, scopeBoxStore, scopeStore) {
-				violate("configuration", "%s did not know version %d %v after it was taken", ex.box, ex.routeVersion, ex.sentAt.Sub(at))
+				violate("configuration", "%s returned 404 for a route of version %d %v after the store accepted the version", ex.box, ex.routeVersion, ex.sentAt.Sub(at))
 			}
 		}
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -170,6 +170,6 @@
 		}
 	}
 	if last == 0 || lastServed*10 < last*9 {
-		rep.Violations = append(rep.Violations, Violation{"recovery", fmt.Sprintf("%d of %d requests were served %v after all was mended", lastServed, last, from.Sub(repaired))})
+		rep.Violations = append(rep.Violations, Violation{"recovery", fmt.Sprintf("%d of %d requests were served from %v after the last action ended", lastServed, last, from.Sub(repaired))})
 	}
 }
--- a/soak/target_limits.go
+++ b/soak/target_limits.go
@@ -142,13 +142,13 @@
 		}
 		allowed := x.perSecond * x.to.Sub(x.from).Seconds()
 		busiest := busiestWindow(rec.arrivalsAfterNotice(x, all))
-		rec.limitSummaries = append(rec.limitSummaries, fmt.Sprintf("%s takes %v a second: allowed %.0f, sent %d, served %d; in %v at most %d, %d by boxes that knew and were well, bears %d",
+		rec.limitSummaries = append(rec.limitSummaries, fmt.Sprintf("%s with a limit of %v a second: allowed %.0f, sent %d, served %d; busiest %v: %d from all boxes, %d from fault-free boxes that had the limit, maximum %d",
 			x.target, x.perSecond, allowed, len(all), served, limitWindow, busiestWindow(counted), busiest, x.maxInWindow()))
 		if busiest > x.maxInWindow() {
-			violate("limit", "%s takes %v a second from all boxes, and boxes that knew sent it %d in %v; it bears %d", x.target, x.perSecond, busiest, limitWindow, x.maxInWindow())
+			violate("limit", "%s with a limit of %v a second received %d requests in %v from fault-free boxes that had the limit, maximum %d", x.target, x.perSecond, busiest, limitWindow, x.maxInWindow())
 		}
 		if rec.undisturbed(x) && float64(len(all)) < minLimitShare*allowed-1 {
-			violate("limit", "%s takes %v a second, and was sent %d in %v although nothing was wrong", x.target, x.perSecond, len(all), x.to.Sub(x.from))
+			violate("limit", "%s with a limit of %v a second received only %d requests in %v without faults", x.target, x.perSecond, len(all), x.to.Sub(x.from))
 		}
 	}
 }
--- a/soak/target_requests.go
+++ b/soak/target_requests.go
@@ -99,7 +99,7 @@
 			}
 		}
 		if n > maxRequestsInRest {
-			violate("rest", "%s sent %s %d requests in the %v for which it was asked for rest", process.box, rejection.Target, n, requestedRest)
+			violate("rest", "%s sent %d requests to %s during the %v of rest that the target had requested", process.box, n, rejection.Target, requestedRest)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	each(func(p forward, ex exchange) {
 		first, ok := firstForward[p]
 		if late := ex.sentAt.Sub(first); ok && late > drainBound && rec.faultFree(p.box, first, ex.endedAt, scopeBox) {
-			violate("draining", "%s by %s reached %s, and came %v after the box had passed on that it is leaving", ex.request.ID, p.box, p.target, late)
+			violate("draining", "request %s to %s ran on %s, and was sent %v after the box had forwarded the target's report that it is leaving", ex.request.ID, p.box, p.target, late)
 		}
 	})
 }
