--- a/cli/check.go
+++ b/cli/check.go
@@ -20,26 +20,28 @@
 	"agent": func(path string) error { _, err := settings.Open(path, process.DefaultAgentSettings); return err },
 }
 
+// roleNames returns the roles for use in texts.
+func roleNames() string { return strings.Join(slices.Sorted(maps.Keys(settingsChecks)), " or ") }
+
 func (a *app) checkCommand() *ucli.Command {
-	roles := strings.Join(slices.Sorted(maps.Keys(settingsChecks)), " or ")
 	return &ucli.Command{
-		Name: "check-settings", Usage: "say whether clovertrail-node takes a settings file", ArgsUsage: "FILE",
-		Flags:  []ucli.Flag{&ucli.StringFlag{Name: "role", Value: "entry", Usage: roles}},
+		Name: "check-settings", Usage: "check whether a settings file is valid for clovertrail-node", ArgsUsage: "FILE",
+		Flags:  []ucli.Flag{&ucli.StringFlag{Name: "role", Value: "entry", Usage: "role of the process: " + roleNames()}},
 		Action: a.check,
 	}
 }
 
 func (a *app) check(_ context.Context, c *ucli.Command) error {
 	if c.Args().Len() != 1 {
-		return usageError{errors.New("want FILE")}
+		return usageError{errors.New("check-settings requires one argument: FILE")}
 	}
 	check, ok := settingsChecks[c.String("role")]
 	if !ok {
-		return usageError{fmt.Errorf("no role %q", c.String("role"))}
+		return usageError{fmt.Errorf("unknown role %q: must be %s", c.String("role"), roleNames())}
 	}
 	if err := check(c.Args().First()); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(a.out, "%s: fine for the role %s\n", c.Args().First(), c.String("role"))
+	_, err := fmt.Fprintf(a.out, "%s: valid for role %s\n", c.Args().First(), c.String("role"))
 	return err
 }
--- a/cli/log_commands.go
+++ b/cli/log_commands.go
@@ -20,14 +20,14 @@
 
 func (a *app) explainCommand() *ucli.Command {
 	return &ucli.Command{
-		Name: "explain", Usage: "show what happened to a request, and what its box held true", ArgsUsage: "REQUEST LOG...",
+		Name: "explain", Usage: "show the events of a request, and the state of its box when the request ended", ArgsUsage: "REQUEST LOG...",
 		Action: a.explain,
 	}
 }
 
 func (a *app) explain(_ context.Context, c *ucli.Command) error {
 	if c.Args().Len() < 2 {
-		return usageError{errors.New("want REQUEST LOG... (- is standard input)")}
+		return usageError{errors.New("explain requires the arguments REQUEST LOG... (- reads standard input)")}
 	}
 	set, err := readLogs(c.Args().Tail())
 	if err != nil {
@@ -41,7 +41,7 @@
 	if err := a.print(eventTable(t)); err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(a.out, "\nHeld true by %s as it ended:\n\n", t.Box())
+	_, _ = fmt.Fprintf(a.out, "\nState of %s when the request ended:\n\n", t.Box())
 	if err := a.print(factTable(t)); err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 	if n == 0 {
 		return nil
 	}
-	_, err := fmt.Fprintf(a.out, "\n%d lines could not be read and were passed over.\n", n)
+	_, err := fmt.Fprintf(a.out, "\n%d lines could not be parsed and were skipped.\n", n)
 	return err
 }
 
@@ -83,15 +83,15 @@
 
 func (a *app) reportCommand() *ucli.Command {
 	return &ucli.Command{
-		Name: "report", Usage: "add up what logs say: ends of requests, latency, changes of maps", ArgsUsage: "LOG...",
-		Flags:  []ucli.Flag{&ucli.StringFlag{Name: "svg", Usage: "also draw it to the `FILE`"}},
+		Name: "report", Usage: "summarise logs: outcomes of requests, failed attempts, latency, map changes", ArgsUsage: "LOG...",
+		Flags:  []ucli.Flag{&ucli.StringFlag{Name: "svg", Usage: "also write the plots to `FILE` as SVG"}},
 		Action: a.report,
 	}
 }
 
 func (a *app) report(_ context.Context, c *ucli.Command) error {
 	if c.Args().Len() < 1 {
-		return usageError{errors.New("want LOG... (- is standard input)")}
+		return usageError{errors.New("report requires the arguments LOG... (- reads standard input)")}
 	}
 	set, err := readLogs(c.Args().Slice())
 	if err != nil {
@@ -124,7 +124,7 @@
 
 func reportTables(r *logs.Report) []table {
 	latency := table{header: []string{"MS", "P50", "P95", "P99", "MOST", "OF"}}
-	latency.rows = append(latency.rows, latencyRow("until an answer began", r.FirstByte()), latencyRow("longest pause of a stream", r.StreamPauses()))
+	latency.rows = append(latency.rows, latencyRow("time to first byte", r.FirstByte()), latencyRow("longest pause of a stream", r.StreamPauses()))
 	return []table{
 		countTable("REQUESTS", r.Outcomes()), countTable("FAILED ATTEMPTS", r.FailedAttempts()), countTable("CHANGES OF MAPS", r.MapChanges()),
 		latency,
--- a/cli/run.go
+++ b/cli/run.go
@@ -60,7 +60,7 @@
 		c.OnUsageError = wrapUsageError
 	}
 	return &ucli.Command{
-		Name: "clovertrail", Usage: "look into a clovertrail that runs, or ran", Version: Version,
+		Name: "clovertrail", Usage: "inspect a clovertrail system and its logs", Version: Version,
 		EnableShellCompletion: true, Writer: a.out, ErrWriter: errOut,
 		ExitErrHandler: func(context.Context, *ucli.Command, error) {}, // Run prints the error
 		OnUsageError:   wrapUsageError,
--- a/cli/status.go
+++ b/cli/status.go
@@ -18,7 +18,7 @@
 
 func (a *app) statusCommand() *ucli.Command {
 	return &ucli.Command{
-		Name: "status", Usage: "show the configuration and the targets that the platform's store holds",
+		Name: "status", Usage: "show the configuration and the targets in the platform's store",
 		Flags: []ucli.Flag{
 			&ucli.StringFlag{Name: "store", Required: true, Usage: "`HOST:PORT` of the store", Sources: ucli.EnvVars("CLOVERTRAIL_STORE")},
 		},
@@ -32,11 +32,11 @@
 	platformStore := platform.NewStore(c.String("store"), http.DefaultClient, nil)
 	configs, err := platformStore.List(ctx, platform.Configurations)
 	if err != nil {
-		return fmt.Errorf("configuration: %w", err)
+		return fmt.Errorf("list configurations of the store: %w", err)
 	}
 	targets, err := platformStore.List(ctx, platform.Targets)
 	if err != nil {
-		return fmt.Errorf("targets: %w", err)
+		return fmt.Errorf("list targets of the store: %w", err)
 	}
 	for _, r := range configs.Records {
 		if r.Name != platform.ConfigurationName {
