--- a/cmd/clovertrail-bench/main.go
+++ b/cmd/clovertrail-bench/main.go
@@ -18,12 +18,12 @@
 
 func main() {
 	cmd := &cli.Command{
-		Name: "clovertrail-bench", Usage: "measure what the documents quote",
+		Name: "clovertrail-bench", Usage: "run the measurements for docs/CAPACITY.md, and generate docs/SETTINGS.md",
 		Commands: []*cli.Command{
-			{Name: "slopes", Usage: "what messages and decisions cost by size (docs/CAPACITY.md)", Action: func(context.Context, *cli.Command) error {
+			{Name: "slopes", Usage: "measure the cost of messages and decisions by size (docs/CAPACITY.md)", Action: func(context.Context, *cli.Command) error {
 				return bench.Slopes(os.Stdout)
 			}},
-			{Name: "settings", Usage: "the reference of the settings (docs/SETTINGS.md)", Action: func(context.Context, *cli.Command) error {
+			{Name: "settings", Usage: "print the reference of the settings (docs/SETTINGS.md)", Action: func(context.Context, *cli.Command) error {
 				text, err := reference.Settings(".")
 				fmt.Print(text)
 				return err
--- a/cmd/clovertrail-demo/main.go
+++ b/cmd/clovertrail-demo/main.go
@@ -32,12 +32,12 @@
 	cmd := &cli.Command{
 		Name: "clovertrail-demo", Usage: "run the whole system on loopback under a workload with faults",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "workload", Usage: "`FILE` of the workload; a short one with every fault if absent"},
-			&cli.IntFlag{Name: "seconds", Usage: "how long requests come, in place of what the workload says"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "draws the requests"},
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many runs, each with the next seed"},
-			&cli.StringFlag{Name: "log", Usage: "`FILE` that takes the lines of all processes, for clovertrail report and explain"},
-			&cli.BoolFlag{Name: "stay", Usage: "leave the system up until interrupted"},
+			&cli.StringFlag{Name: "workload", Usage: "workload `FILE`; by default a short workload with one fault of each kind"},
+			&cli.IntFlag{Name: "seconds", Usage: "time for which requests are sent, instead of the time in the workload; the times of faults are scaled"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed from which the requests of the first run are drawn"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of runs; each uses the next seed"},
+			&cli.StringFlag{Name: "log", Usage: "`FILE` for the log lines of all processes, as input of clovertrail report and explain"},
+			&cli.BoolFlag{Name: "stay", Usage: "keep the system running after the run until interrupted"},
 		},
 		Action: run,
 	}
--- a/cmd/clovertrail-node/main.go
+++ b/cmd/clovertrail-node/main.go
@@ -18,7 +18,7 @@
 
 func main() {
 	if len(os.Args) != 2 {
-		fmt.Fprintln(os.Stderr, "usage: clovertrail-node entry|agent, with the settings file named in", node.SettingsVariable)
+		fmt.Fprintf(os.Stderr, "usage: %s=FILE clovertrail-node entry|agent\n", node.SettingsVariable)
 		os.Exit(exitUsage)
 	}
 	if err := node.Main(os.Args[1], os.Getenv(node.SettingsVariable)); err != nil {
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -20,25 +20,25 @@
 
 // faultKinds has the kinds of faults by their names in workload files.
 var faultKinds = map[string]faultKind{
-	"box dies": {"an entry box dies and starts again",
+	"box dies": {"an entry box is down after a crash",
 		func(s *local.System, i int) { entryBox(s, i).Kill() },
 		func(s *local.System, i int) { _ = entryBox(s, i).Start() }}, // fails only if its address is in use
-	"box stops": {"an entry box is stopped as planned and started again",
+	"box stops": {"an entry box is down for a planned stop",
 		func(s *local.System, i int) { entryBox(s, i).Stop() },
 		func(s *local.System, i int) { _ = entryBox(s, i).Start() }},
-	"halls cut": {"two data halls lose sight of each other",
+	"halls cut": {"two data halls cannot reach each other",
 		func(s *local.System, i int) { setLink(s, i, local.Silent) },
 		func(s *local.System, i int) { setLink(s, i, local.Open) }},
-	"rank slow": {"a rank becomes slow",
+	"rank slow": {"a rank is slow",
 		func(s *local.System, i int) { s.Group().SetSlowdown(i%len(s.Agents()), slowRankFactor) },
 		func(s *local.System, i int) { s.Group().SetSlowdown(i%len(s.Agents()), 1) }},
-	"agent dies": {"the agent that coordinates the group dies",
+	"agent dies": {"the agent that coordinates the group is down after a crash",
 		func(s *local.System, _ int) { s.Agents()[0].Kill() },
 		func(s *local.System, _ int) { _ = s.Agents()[0].Start() }},
-	"store away": {"the platform's store answers nothing",
+	"store away": {"the platform's store is unresponsive",
 		func(s *local.System, _ int) { s.Store.SetFailureMode(standin.Unresponsive, 0) },
 		func(s *local.System, _ int) { s.Store.SetFailureMode(standin.Healthy, 0) }},
-	"target fails": {"a target fails what it is asked",
+	"target fails": {"a target fails all requests",
 		func(s *local.System, i int) { setFailing(s, i, true) },
 		func(s *local.System, i int) { setFailing(s, i, false) }},
 }
@@ -60,11 +60,11 @@
 	if !waitUntil(ctx, start.Add(f.At.Duration())) {
 		return
 	}
-	report("fault: " + kind.description)
+	report("fault started: " + kind.description)
 	kind.start(s, f.Index)
 	waitUntil(ctx, start.Add((f.At + f.For).Duration()))
 	kind.end(s, f.Index)
-	report("mended: " + kind.description)
+	report("fault ended: " + kind.description)
 }
 
 // waitUntil reports whether the time came before ctx ended.
--- a/demo/result.go
+++ b/demo/result.go
@@ -91,10 +91,10 @@
 // was not the answer to its own request.
 func (r *Result) Violation() error {
 	if r.figures.Violation != "" {
-		return fmt.Errorf("a step was begun on two maps: %s", r.figures.Violation)
+		return fmt.Errorf("ranks began a step on two maps: %s", r.figures.Violation)
 	}
 	if len(r.wrongReplies) > 0 {
-		return fmt.Errorf("%d answers were not their requests' own, the first: %s", len(r.wrongReplies), r.wrongReplies[0])
+		return fmt.Errorf("%d responses belong to other requests or are damaged, the first: %s", len(r.wrongReplies), r.wrongReplies[0])
 	}
 	return nil
 }
@@ -112,16 +112,16 @@
 	for _, c := range r.report.Outcomes() {
 		printf(w, "%s\t%d\n", c.Label(), c.N())
 	}
-	printf(w, "told to come back\t%d\n", r.retriedLater)
+	printf(w, "retried at the stated time\t%d\n", r.retriedLater)
 	first, pauses := r.report.FirstByte(), r.report.StreamPauses()
 	printf(w, "\nMS\tP50\tP95\tP99\n")
-	printf(w, "until an answer began\t%d\t%d\t%d\n", first.P50.Milliseconds(), first.P95.Milliseconds(), first.P99.Milliseconds())
+	printf(w, "time to first byte\t%d\t%d\t%d\n", first.P50.Milliseconds(), first.P95.Milliseconds(), first.P99.Milliseconds())
 	printf(w, "longest pause of a stream\t%d\t%d\t%d\n", pauses.P50.Milliseconds(), pauses.P95.Milliseconds(), pauses.P99.Milliseconds())
 	_ = w.Flush() // output to a closed terminal is dropped
 	f := r.figures
-	printf(out, "\nThe group of %d ranks: load of the hottest over that of even ranks %.2f on average over %d steps;\n", r.shape.Ranks, f.Skew, f.Steps)
-	printf(out, "with its first map kept it would be %.2f, and no map can be under %.2f with %d places a rank.\n", r.firstSkew, r.skewBound, r.shape.Slots)
-	printf(out, "For that %d experts were copied and maps changed (%s); held %v.\n", f.Copies, changes(r.report), f.HoldTime.Round(time.Millisecond))
+	printf(out, "\nGroup of %d ranks: mean skew %.2f (load of the hottest ranks relative to evenly loaded ranks) over %d steps.\n", r.shape.Ranks, f.Skew, f.Steps)
+	printf(out, "With its first map throughout the skew would be %.2f; its lower bound for any map is %.2f with %d slots per rank and layer.\n", r.firstSkew, r.skewBound, r.shape.Slots)
+	printf(out, "Cost: %d experts copied; map changes: %s; steps held for %v in total.\n", f.Copies, changes(r.report), f.HoldTime.Round(time.Millisecond))
 }
 
 func changes(r *logs.Report) string {
@@ -130,7 +130,7 @@
 		text += fmt.Sprintf("%d %s, ", c.N(), c.Label())
 	}
 	if text == "" {
-		return "never"
+		return "none"
 	}
 	return text[:len(text)-2]
 }
@@ -142,7 +142,7 @@
 // PrintAddresses writes commands that reach a running system.
 func PrintAddresses(out io.Writer, s *local.System) {
 	e := s.Entries()[0]
-	printf(out, "\nThe system stays up; end it with Ctrl-C. Try:\n")
+	printf(out, "\nThe system keeps running; stop it with Ctrl-C. Try:\n")
 	printf(out, "  curl -N -H 'Host: %s' -H 'Request-Id: 1' -H 'Authorization: Bearer %s' %s%s\n", standin.Host, apiKey, e.URL(), paths["group"])
 	printf(out, "  curl %s\n", e.MetricsURL())
 	printf(out, "  go run ./cmd/clovertrail status --store %s\n", s.StoreAddress())
--- a/demo/workload.go
+++ b/demo/workload.go
@@ -104,20 +104,20 @@
 		n    int
 	}{{"seconds", w.Seconds}, {"halls", w.Halls}, {"entries", w.Entries}, {"targets", w.Targets}, {"ranks", w.Ranks}} {
 		if x.n < 1 {
-			return fmt.Errorf("%s: %d is not at least 1", x.name, x.n)
+			return fmt.Errorf("%s must be at least 1, got %d", x.name, x.n)
 		}
 	}
 	if w.Rate <= 0 || w.PeakFactor <= 0 || w.DemandShiftInterval <= 0 {
-		return fmt.Errorf("rate, peak and jump_seconds must be above 0")
+		return fmt.Errorf("rate, peak and jump_seconds must be above 0, got %v, %v and %v", w.Rate, w.PeakFactor, w.DemandShiftInterval)
 	}
 	for kind, share := range w.Mix {
 		if _, ok := paths[kind]; !ok || share < 0 {
-			return fmt.Errorf("mix: %q is not one of %s", kind, strings.Join(slices.Sorted(maps.Keys(paths)), ", "))
+			return fmt.Errorf("mix: invalid kind or share, %q: %v; kinds are %s, and shares must not be negative", kind, share, strings.Join(slices.Sorted(maps.Keys(paths)), ", "))
 		}
 	}
 	for _, f := range w.Faults {
 		if _, ok := faultKinds[f.Kind]; !ok {
-			return fmt.Errorf("faults: %q is not one of %s", f.Kind, strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "))
+			return fmt.Errorf("faults: unknown kind %q, must be one of %s", f.Kind, strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "))
 		}
 	}
 	return nil
