--- /dev/null
+++ b/gateway/listener.go
@@ -0,0 +1,207 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	// firstRequestTimeout limits how long a stopping Listener waits for the first request on an
+	// accepted connection: a few round trips to a caller, with lost packets resent once.
+	firstRequestTimeout = time.Second
+	// finalReadTimeout limits the last read on an idle connection before it is closed. A process
+	// that was not scheduled for a while finds the stop and the requests that arrived meanwhile
+	// at once; what has arrived is read without waiting.
+	finalReadTimeout = 50 * time.Millisecond
+)
+
+// Listener accepts callers' connections over HTTP and drains them at a planned stop.
+//
+// http.Server's own Shutdown drops a request that was read on a connection accepted just
+// before, and closes idle connections whatever has arrived on them. The planned stop of a
+// Listener accepts no more connections and then serves the requests that still arrive on
+// those that are open. From then on its handler must close each connection with the response.
+//
+//	l := gateway.NewListener(&http.Server{Handler: g})
+//	go l.Serve(listener)
+//	err := l.Stop(ctx)
+type Listener struct {
+	server    *http.Server
+	stop      chan struct{} // closed by Stop
+	serveDone chan struct{} // closed when Serve returns; all accepted connections are tracked by then
+
+	mu        sync.Mutex
+	conns     map[*trackedConn]http.ConnState
+	drained   chan struct{} // closed once Serve has ended and no connection is open
+	drainOnce sync.Once     // guards the closing of drained
+}
+
+// NewListener returns a Listener for the server. It sets the server's ConnState.
+func NewListener(s *http.Server) *Listener {
+	l := &Listener{
+		server: s, stop: make(chan struct{}), serveDone: make(chan struct{}),
+		conns: map[*trackedConn]http.ConnState{}, drained: make(chan struct{}),
+	}
+	s.ConnState = l.trackState
+	return l
+}
+
+// Serve accepts connections until Stop, after which it returns nil. It must be called once.
+func (l *Listener) Serve(inner net.Listener) error {
+	defer close(l.serveDone)
+	go func() {
+		select {
+		case <-l.stop:
+			_ = inner.Close() // makes the server's Serve return
+		case <-l.serveDone: // the inner listener failed
+		}
+	}()
+	err := l.server.Serve(trackingListener{inner, l})
+	select {
+	case <-l.stop:
+		return nil
+	default:
+		return err
+	}
+}
+
+// Stop accepts no more connections and returns once all connections are closed. If ctx ends
+// first it closes the remaining connections and returns an error. It must be called once.
+func (l *Listener) Stop(ctx context.Context) error {
+	close(l.stop)
+	<-l.serveDone
+	l.expireReads(http.StateIdle)
+	firstRequestTimer := time.AfterFunc(firstRequestTimeout, func() { l.expireReads(http.StateNew) })
+	defer firstRequestTimer.Stop()
+	l.signalIfDrained()
+	select {
+	case <-l.drained:
+		return nil
+	case <-ctx.Done():
+		return errors.Join(ctx.Err(), l.server.Close())
+	}
+}
+
+// trackState records the state of a connection. The server calls it at each change.
+func (l *Listener) trackState(n net.Conn, s http.ConnState) {
+	c, ok := n.(*trackedConn)
+	if !ok {
+		return // accepted by another listener of the server
+	}
+	if s == http.StateIdle {
+		c.receivedSinceIdle.Store(false)
+	}
+	l.mu.Lock()
+	if s == http.StateClosed || s == http.StateHijacked {
+		delete(l.conns, c)
+	} else {
+		l.conns[c] = s
+	}
+	l.mu.Unlock()
+	if s == http.StateActive && l.stopping() {
+		// A final read may have begun while the request was read; its deadline must not end
+		// the request.
+		_ = c.Conn.SetReadDeadline(time.Time{}) // where that fails, reading fails too
+	}
+	select {
+	case <-l.serveDone:
+		l.signalIfDrained()
+	default: // further connections may be accepted
+	}
+}
+
+// signalIfDrained wakes Stop if no connection is open.
+func (l *Listener) signalIfDrained() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.conns) == 0 {
+		l.drainOnce.Do(func() { close(l.drained) })
+	}
+}
+
+// stopping reports whether Stop was called.
+func (l *Listener) stopping() bool {
+	select {
+	case <-l.stop:
+		return true
+	default:
+		return false
+	}
+}
+
+// expireReads lets the pending reads of all connections in the state time out now.
+func (l *Listener) expireReads(state http.ConnState) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c, s := range l.conns {
+		if s == state {
+			_ = c.Conn.SetReadDeadline(time.Now()) // fails only on a closed connection
+		}
+	}
+}
+
+// trackingListener wraps the connections that it accepts in a trackedConn.
+type trackingListener struct {
+	net.Listener
+	owner *Listener
+}
+
+// Accept implements net.Listener.
+func (t trackingListener) Accept() (net.Conn, error) {
+	c, err := t.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &trackedConn{Conn: c, owner: t.owner}, nil
+}
+
+// trackedConn is a connection that, when its Listener stops, is read once more before the wait
+// for a request ends.
+type trackedConn struct {
+	net.Conn
+	owner             *Listener
+	finalReadDone     atomic.Bool // the final read has begun
+	receivedSinceIdle atomic.Bool // bytes arrived since the connection became idle
+}
+
+// Read implements net.Conn.
+func (c *trackedConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	if n > 0 {
+		c.receivedSinceIdle.Store(true)
+	}
+	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !c.owner.stopping() || !c.owner.awaitsRequest(c) || c.finalReadDone.Swap(true) {
+		return n, err
+	}
+	if err := c.Conn.SetReadDeadline(time.Now().Add(finalReadTimeout)); err != nil {
+		return 0, err
+	}
+	return c.Conn.Read(p)
+}
+
+// SetReadDeadline implements net.Conn. The server calls it before it waits for the next
+// request. While the Listener stops, that wait is limited to finalReadTimeout.
+func (c *trackedConn) SetReadDeadline(t time.Time) error {
+	if c.owner.stopping() && c.owner.state(c) == http.StateIdle && !c.receivedSinceIdle.Load() {
+		t = time.Now().Add(finalReadTimeout)
+	}
+	return c.Conn.SetReadDeadline(t)
+}
+
+// awaitsRequest reports whether the connection has no request that was read and not answered.
+func (l *Listener) awaitsRequest(c *trackedConn) bool {
+	s := l.state(c)
+	return s == http.StateIdle || s == http.StateNew
+}
+
+func (l *Listener) state(c *trackedConn) http.ConnState {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.conns[c]
+}
--- a/node/budgets.go
+++ b/node/budgets.go
@@ -9,81 +9,83 @@
 	"clovertrail.dev/retry"
 )
 
-// budgets guards the box's part of the retry budget of each service.
+// budgets guards the box's share of the retry budget of each service.
 //
 // Lock order: mu is the only lock.
 type budgets struct {
-	mu     sync.Mutex
-	bounds process.Bounds
-	boxes  int
-	purses map[domain.ServiceName]*retry.Budget
+	mu        sync.Mutex
+	bounds    process.Bounds
+	boxes     int
+	byService map[domain.ServiceName]*retry.TokenBudget
 }
 
-// budgetMargin is the part of the platform's budget that is used. The rest is for
-// boxes that start again and so forget what they spent.
-const budgetMargin = 0.8
+// usedBudgetShare is the share of the platform's retry budget that the boxes use. The rest is for boxes
+// that restart, and with that lose the record of the retries that they have made.
+const usedBudgetShare = 0.8
 
 func newBudgets(b process.Bounds) *budgets {
-	return &budgets{bounds: b, boxes: 1, purses: map[domain.ServiceName]*retry.Budget{}}
+	return &budgets{bounds: b, boxes: 1, byService: map[domain.ServiceName]*retry.TokenBudget{}}
 }
 
-// setBoxes sets how many boxes share the budget.
+// setBoxes sets the number of boxes that share the budget.
 func (b *budgets) setBoxes(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.boxes = max(n, 1)
-	for _, p := range b.purses {
-		p.SetFree(b.free())
+	for _, t := range b.byService {
+		t.SetMinRate(b.minRate())
 	}
 }
 
-// setBounds takes changed bounds. What was spent stays spent.
+// setBounds sets changed bounds. Tokens that were spent remain spent.
 func (b *budgets) setBounds(n process.Bounds) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.bounds = n
-	for _, p := range b.purses {
-		p.SetShare(n.RetryShare * budgetMargin)
-		p.SetFree(b.free())
+	for _, t := range b.byService {
+		t.SetShare(n.RetryShare * usedBudgetShare)
+		t.SetMinRate(b.minRate())
 	}
 }
 
-// free is how many attempts a second this box may make beside those that requests
-// pay for. A budget holds a window's worth, so that in one window twice as much may
-// be spent.
-func (b *budgets) free() float64 {
-	return b.bounds.RetrySlack * budgetMargin / float64(b.boxes) / b.bounds.RetryWindow.Std().Seconds() / 2
+// minRate returns the number of retries per second that this box may make in addition to those that its
+// requests add to the budget. A budget holds the tokens of a whole window, so that up to twice as many can be spent
+// within one window; hence the rate is halved.
+func (b *budgets) minRate() float64 {
+	return b.bounds.RetrySlack * usedBudgetShare / float64(b.boxes) / b.bounds.RetryWindow.Std().Seconds() / 2
 }
 
-// purse implements gateway.Parts.Purse.
-func (b *budgets) purse(svc domain.ServiceName) retry.Purse {
-	return servicePurse{budgets: b, service: svc}
+// forService returns the retry budget of the service. It is the Budget of gateway.Dependencies.
+func (b *budgets) forService(svc domain.ServiceName) retry.Budget {
+	return serviceBudget{budgets: b, service: svc}
 }
 
-type servicePurse struct {
+// serviceBudget is the retry budget of one service. It implements retry.Budget.
+type serviceBudget struct {
 	budgets *budgets
 	service domain.ServiceName
 }
 
-// Request implements retry.Purse.
-func (s servicePurse) Request(now time.Time) {
+// AddRequest implements retry.Budget.
+func (s serviceBudget) AddRequest(now time.Time) {
 	s.budgets.mu.Lock()
 	defer s.budgets.mu.Unlock()
-	s.budgets.of(s.service).Request(now)
+	s.budgets.tokenBudget(s.service).AddRequest(now)
 }
 
-// Take implements retry.Purse.
-func (s servicePurse) Take(now time.Time) bool {
+// SpendRetry implements retry.Budget.
+func (s serviceBudget) SpendRetry(now time.Time) bool {
 	s.budgets.mu.Lock()
 	defer s.budgets.mu.Unlock()
-	return s.budgets.of(s.service).Take(now)
+	return s.budgets.tokenBudget(s.service).SpendRetry(now)
 }
 
-func (b *budgets) of(svc domain.ServiceName) *retry.Budget {
-	p, ok := b.purses[svc]
+// tokenBudget returns the service's token budget, and creates it on first use. mu is held.
+func (b *budgets) tokenBudget(svc domain.ServiceName) *retry.TokenBudget {
+	t, ok := b.byService[svc]
 	if !ok {
-		p = retry.NewBudget(b.bounds.RetryShare*budgetMargin, b.free())
-		b.purses[svc] = p
+		t = retry.NewTokenBudget(b.bounds.RetryShare*usedBudgetShare, b.minRate())
+		b.byService[svc] = t
 	}
-	return p
+	return t
 }
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -16,213 +16,216 @@
 	"clovertrail.dev/routing"
 )
 
-// fleet guards what the box knows of targets, and chooses among them. It implements
-// gateway.Fleet.
+// fleet guards the state of the targets as this box sees them, and chooses targets for attempts. It
+// implements gateway.Fleet.
 //
 // Lock order: mu is the only lock, and no I/O is done under it.
 type fleet struct {
-	mu       sync.Mutex
-	hall     domain.HallName
-	roster   *membership.Roster
-	balancer *routing.Balancer
-	gate     *admission.Gate
-	limits   *ratelimit.Register
-	askedAt  map[domain.ServiceName]time.Time          // when a target of the service was last asked for
-	letDown  func()                                    // called when a target let this box down, and others are to learn of it
-	ejected  func(domain.InstanceID)                   // called when a target is ejected as several boxes report failures of it
-	left     func(id domain.InstanceID, source string) // called when a target reports that it is leaving, and nothing did before
-	witness  func(domain.Target) string                // another process that is reached on the way to the target
-	limited  func(w ratelimit.Report, source string)   // called when a target has another limit than before
-	permits  permitting
-}
-
-// permitting gets permits for the first of the targets of the service that has any, and reports
-// which; empty if none has.
-type permitting func(ctx context.Context, svc domain.ServiceName, targets []domain.InstanceID) domain.InstanceID
+	mu             sync.Mutex
+	hall           domain.HallName
+	roster         *membership.Roster
+	balancer       *routing.Balancer
+	gate           *admission.Gate
+	limits         *ratelimit.Register
+	lastRequestAt  map[domain.ServiceName]time.Time          // by service: when a target was last requested
+	onFailure      func()                                    // called after a failure of a target that other boxes are to be notified of
+	onEjected      func(domain.InstanceID)                   // called when a target is ejected because several boxes report failures of it
+	onLeaving      func(id domain.InstanceID, source string) // called on the first report that a target is leaving
+	witness        func(domain.Target) string                // returns the address of another process on the network path to the target
+	onLimitChanged func(r ratelimit.Report, source string)   // called when the limit of a target changed
+	requestPermit  permitFunc
+}
+
+// permitFunc requests permits for the first of the service's targets that has any, and returns that
+// target; empty if none has any.
+type permitFunc func(ctx context.Context, svc domain.ServiceName, targets []domain.InstanceID) domain.InstanceID
 
 func newFleet(self domain.BoxID, hall domain.HallName, p membership.RosterPolicy) *fleet {
 	return &fleet{
-		hall:     hall,
-		roster:   membership.NewRoster(self, p),
-		letDown:  func() {},
-		ejected:  func(domain.InstanceID) {},
-		left:     func(domain.InstanceID, string) {},
-		witness:  func(domain.Target) string { return "" },
-		balancer: routing.NewBalancer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		gate:     admission.NewGate(),
-		limits:   ratelimit.NewRegister(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		limited:  func(ratelimit.Report, string) {},
-		permits:  func(context.Context, domain.ServiceName, []domain.InstanceID) domain.InstanceID { return "" },
-		askedAt:  map[domain.ServiceName]time.Time{},
+		hall:           hall,
+		roster:         membership.NewRoster(self, p),
+		onFailure:      func() {},
+		onEjected:      func(domain.InstanceID) {},
+		onLeaving:      func(domain.InstanceID, string) {},
+		witness:        func(domain.Target) string { return "" },
+		balancer:       routing.NewBalancer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		gate:           admission.NewGate(),
+		limits:         ratelimit.NewRegister(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		onLimitChanged: func(ratelimit.Report, string) {},
+		requestPermit:  func(context.Context, domain.ServiceName, []domain.InstanceID) domain.InstanceID { return "" },
+		lastRequestAt:  map[domain.ServiceName]time.Time{},
 	}
 }
 
-// with runs f under the lock.
+// with calls run under the lock.
 func (f *fleet) with(run func(*membership.Roster, *routing.Balancer)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	run(f.roster, f.balancer)
 }
 
-// options are the targets of the service that may get new work; mu is held.
+// options returns the targets of the service that may be sent new requests, without those already tried.
+// mu is held.
 func (f *fleet) options(now time.Time, svc domain.ServiceName, tried []domain.InstanceID) []routing.Option {
 	var options []routing.Option
-	for _, u := range f.roster.Ranked(now, svc) {
-		if u.Standing.Usable() && !slices.Contains(tried, u.Target.ID()) {
-			o := optionOf(u)
-			o.Limited = !f.limits.Free(o.ID)
+	for _, r := range f.roster.Ranked(now, svc) {
+		if r.Standing.Usable() && !slices.Contains(tried, r.Target.ID()) {
+			o := optionOf(r)
+			o.Limited = !f.limits.Unlimited(o.ID)
 			options = append(options, o)
 		}
 	}
 	return options
 }
 
-// standings is what is thought of the targets of services that were asked for.
+// standings returns the standing of each target of the services that were requested.
 func (f *fleet) standings(now time.Time) map[domain.InstanceID]membership.Standing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := map[domain.InstanceID]membership.Standing{}
-	for svc := range f.askedAt {
-		for _, u := range f.roster.Ranked(now, svc) {
-			all[u.Target.ID()] = u.Standing
+	for svc := range f.lastRequestAt {
+		for _, r := range f.roster.Ranked(now, svc) {
+			all[r.Target.ID()] = r.Standing
 		}
 	}
 	return all
 }
 
-// wantedFor is how long after a request a service counts as asked for.
-const wantedFor = 15 * time.Second
+// demandWindow is how long after a request its service counts as in demand.
+const demandWindow = 15 * time.Second
 
-// wanting reports whether a service that is asked for has no target to be used.
-func (f *fleet) wanting(now time.Time) bool {
+// lacksTargets reports whether a service in demand has no usable target.
+func (f *fleet) lacksTargets(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for svc, at := range f.askedAt {
-		if now.Sub(at) < wantedFor && len(f.options(now, svc, nil)) == 0 {
+	for svc, at := range f.lastRequestAt {
+		if now.Sub(at) < demandWindow && len(f.options(now, svc, nil)) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// cutOff reports whether nothing is received from another data hall.
-func (f *fleet) cutOff(now time.Time) bool {
+// otherHallsSilent reports whether there are targets in other data halls, and nothing is received from
+// any of these halls.
+func (f *fleet) otherHallsSilent(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.CutOff(now, f.hall)
+	return f.roster.OtherHallsSilent(now, f.hall)
 }
 
-func optionOf(u membership.Ranked) routing.Option {
-	o := routing.Option{ID: u.Target.ID(), Hall: u.Target.Hall(), Slots: u.Target.Slots(), Tier: int(u.Standing)}
-	if r, ok := u.Target.Rank(); ok {
-		o.Group = r.Group
+func optionOf(r membership.Ranked) routing.Option {
+	o := routing.Option{ID: r.Target.ID(), Hall: r.Target.Hall(), Slots: r.Target.Slots(), Tier: int(r.Standing)}
+	if rank, ok := r.Target.Rank(); ok {
+		o.Group = rank.Group
 	}
 	return o
 }
 
-// Blame implements gateway.Fleet.
-func (f *fleet) Blame(listed domain.ListedID) {
+// ReportFault implements gateway.Fleet.
+func (f *fleet) ReportFault(listed domain.ListedID) {
 	f.with(func(r *membership.Roster, _ *routing.Balancer) {
-		if id, ok := r.Start(listed); ok {
+		if id, ok := r.CurrentInstance(listed); ok {
 			r.Unreachable(clock.Now(), id)
 		}
 	})
 }
 
-// leaves takes that the target reports that it is leaving, by the source.
-func (f *fleet) leaves(now time.Time, id domain.InstanceID, source string) {
-	news := false
-	f.with(func(r *membership.Roster, _ *routing.Balancer) { news = r.Leaves(now, id) })
-	if news {
-		f.left(id, source)
+// leavingReported records a report that the target is leaving. The source is for the log.
+func (f *fleet) leavingReported(now time.Time, id domain.InstanceID, source string) {
+	first := false
+	f.with(func(r *membership.Roster, _ *routing.Balancer) { first = r.LeavingReported(now, id) })
+	if first {
+		f.onLeaving(id, source)
 	}
 }
 
-// names takes what a target stated about its limit with the answer to a request for which it was taken
-// at the time.
-func (f *fleet) names(now time.Time, id domain.InstanceID, l call.Limit, taken time.Time) {
+// recordLimit records the limit that a target named in its response to a request that leased it at
+// leasedAt.
+func (f *fleet) recordLimit(now time.Time, id domain.InstanceID, l call.Limit, leasedAt time.Time) {
 	f.mu.Lock()
-	news := f.limits.Heard(now, id, l, taken)
+	changed := f.limits.RecordAnswer(now, id, l, leasedAt)
 	f.mu.Unlock()
-	if news {
-		f.limited(ratelimit.Report{Target: id, Limit: l, At: now}, "answer")
+	if changed {
+		f.onLimitChanged(ratelimit.Report{Target: id, Limit: l, At: now}, "answer")
 	}
 }
 
-// learn takes reports of limits from another box.
-func (f *fleet) learn(now time.Time, reports []ratelimit.Report, source string) {
-	var news []ratelimit.Report
+// updateLimits records another box's reports of limits. The source is for the log.
+func (f *fleet) updateLimits(now time.Time, reports []ratelimit.Report, source string) {
+	var changed []ratelimit.Report
 	f.mu.Lock()
-	for _, w := range reports {
-		if f.limits.Take(now, w) {
-			news = append(news, w)
+	for _, r := range reports {
+		if f.limits.Update(now, r) {
+			changed = append(changed, r)
 		}
 	}
 	f.mu.Unlock()
-	for _, w := range news {
-		f.limited(w, source)
+	for _, r := range changed {
+		f.onLimitChanged(r, source)
 	}
 }
 
-// forget drops what is known of targets that are long gone.
+// forget drops the loads and limits of targets that the roster no longer has.
 func (f *fleet) forget(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known := func(id domain.InstanceID) bool {
+	keep := func(id domain.InstanceID) bool {
 		_, ok := f.roster.Get(id)
 		return ok
 	}
-	f.balancer.Forget(now, known)
-	f.limits.Forget(now, known)
+	f.balancer.Forget(now, keep)
+	f.limits.Forget(now, keep)
 }
 
-// reports are the newest reports of the targets' limits, as far as they name any.
-func (f *fleet) reports(targets []domain.InstanceID) []ratelimit.Report {
+// limitReports returns the newest limit report of each of the targets, without those that have none.
+func (f *fleet) limitReports(targets []domain.InstanceID) []ratelimit.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []ratelimit.Report
 	for _, id := range targets {
-		if w, known := f.limits.Report(id); known {
-			list = append(list, w)
+		if r, ok := f.limits.Report(id); ok {
+			list = append(list, r)
 		}
 	}
 	return list
 }
 
-// knowsLimits reports whether there are limits, or were lately.
-func (f *fleet) knowsLimits() bool {
+// hasLimits reports whether any target has a limit, or had one until recently.
+func (f *fleet) hasLimits() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.limits.Known()
+	return f.limits.HasLimits()
 }
 
-// limitReports are reports of limits for other boxes.
-func (f *fleet) limitReports(now time.Time, others int) []ratelimit.Report {
+// limitReportsForPeers returns the limit reports to send to other boxes: all recent changes, and up to
+// others of the rest.
+func (f *fleet) limitReportsForPeers(now time.Time, others int) []ratelimit.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.limits.Latest(now, others)
+	return f.limits.ReportsForPeers(now, others)
 }
 
-// granted takes permits that were asked for at the time, and reports for which target one is used at
-// once; empty if there is none.
-func (f *fleet) granted(asked time.Time, g ratelimit.Grant) domain.InstanceID {
-	if g.Permits > 0 && !ratelimit.Lapsed(clock.Now(), asked) {
+// useGrant uses a permit of a grant that was requested at the time, and stores the others for later
+// requests. It returns the target of the permit used; empty if there is none or it has expired.
+func (f *fleet) useGrant(requested time.Time, g ratelimit.Grant) domain.InstanceID {
+	if g.Permits > 0 && !ratelimit.PermitExpired(clock.Now(), requested) {
 		g.Permits--
-		f.keep(asked, g)
+		f.storeGrant(requested, g)
 		return g.Target
 	}
-	f.keep(asked, g)
+	f.storeGrant(requested, g)
 	return ""
 }
 
-// keep takes permits that were asked for at the time, for later requests.
-func (f *fleet) keep(asked time.Time, g ratelimit.Grant) {
+// storeGrant stores a grant that was requested at the time, for later requests.
+func (f *fleet) storeGrant(requested time.Time, g ratelimit.Grant) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range g.Turns {
-		f.limits.Denied(t.Target, t.At)
+		f.limits.SetTurn(t.Target, t.At)
 	}
 	if g.Target != "" {
-		f.limits.Granted(asked, g.Target, g.Permits)
+		f.limits.AddPermits(requested, g.Target, g.Permits)
 	}
 }
--- /dev/null
+++ b/node/hall_poller.go
@@ -0,0 +1,252 @@
+package node
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"clovertrail.dev/core/clock"
+	"clovertrail.dev/core/domain"
+	"clovertrail.dev/membership"
+	"clovertrail.dev/mesh"
+	"clovertrail.dev/node/distribution"
+	"clovertrail.dev/routing"
+)
+
+const (
+	// hallPollTimeout bounds a request for the report of a hall.
+	hallPollTimeout = agentPollTimeout
+	// minMaxReportAge is the lower limit of the age at which this box no longer relies on another
+	// box's report of a target and queries the target itself: the time of several requests to the
+	// target and to that box. It is shorter than the time after which a target that does not report
+	// is suspect.
+	minMaxReportAge = time.Second
+)
+
+// hallPoller receives the status of targets from other entry boxes: for each other data hall from
+// one box there, or, in a hall with hubs, for all halls from one of the hubs. It also serves such
+// reports to other boxes. membership.HallReporters and membership.RoleOf decide which boxes are
+// queried.
+//
+// Lock order: mu, then the fleet's.
+type hallPoller struct {
+	entry    *Entry
+	statuses *distribution.TargetStatuses
+
+	mu           sync.Mutex
+	reporters    *membership.HallReporters
+	role         membership.Role
+	position     int       // of this box among the boxes of its hall, in the order of names
+	hubFollowsAt time.Time // when a hub of the hall last reported that it follows the store
+	storeHealthy func() bool
+	halls        map[domain.HallName]bool // the halls with a running poll loop
+}
+
+func newHallPoller(e *Entry) *hallPoller {
+	return &hallPoller{
+		entry: e, statuses: distribution.NewTargetStatuses(),
+		reporters: membership.NewHallReporters(domain.HallName(e.settings().Hall)), halls: map[domain.HallName]bool{},
+	}
+}
+
+// report implements mesh.Survey.
+func (p *hallPoller) report(_ context.Context, q *mesh.HallQuery) (*mesh.HallReport, error) {
+	r := p.statuses.Latest(clock.Now(), q.All)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	r.FollowsStore = p.role != membership.Follower && p.storeHealthy != nil && p.storeHealthy()
+	return r, nil
+}
+
+// setStoreHealthy sets the function that reports whether this box follows the store and the store
+// answers it.
+func (p *hallPoller) setStoreHealthy(healthy func() bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.storeHealthy = healthy
+}
+
+// hubReliedOnFor is how long a follower relies on a hub after the hub reported that it follows the
+// store: the time of a few requests to the hub.
+const hubReliedOnFor = time.Second
+
+// storeFollowers returns how many boxes follow the store, and the position of this box among them.
+// If this box is a hub, they are the hubs of all halls, and one of them soon notices a watch that
+// the store has silently dropped; otherwise they are all boxes.
+func (p *hallPoller) storeFollowers() (boxes, position int) {
+	p.mu.Lock()
+	role, own := p.role, p.position
+	halls := slices.Sorted(maps.Keys(p.halls))
+	p.mu.Unlock()
+	if role != membership.Hub {
+		return p.entry.peering.reachable()
+	}
+	hall := max(slices.Index(halls, p.hall()), 0)
+	return membership.HubsPerHall * len(halls), hall*membership.HubsPerHall + own
+}
+
+// hubFollowsStore reports whether a hub of the hall follows the store for this box.
+func (p *hallPoller) hubFollowsStore() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.role == membership.Follower && clock.Since(p.hubFollowsAt) < hubReliedOnFor
+}
+
+// updateRole determines the current role of this box in its hall.
+func (p *hallPoller) updateRole(ctx context.Context) {
+	hall := p.hall()
+	self, others := domain.BoxID(p.entry.settings().Box), p.entry.peering.inHall(hall)
+	role := membership.RoleOf(self, others)
+	p.mu.Lock()
+	before := p.role
+	p.role, p.position = role, membership.Position(self, others)
+	p.reporters.SetRole(role)
+	p.mu.Unlock()
+	if role != before {
+		p.entry.common.Log.Info("role in the hall changed", "role", role, "before", before)
+	}
+	p.startLoop(ctx, hall)
+}
+
+func (p *hallPoller) hall() domain.HallName { return domain.HallName(p.entry.settings().Hall) }
+
+// hasRole reports whether this box has the role.
+func (p *hallPoller) hasRole(r membership.Role) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.role == r
+}
+
+// targetsToPoll returns the targets that this box is to query itself.
+func (p *hallPoller) targetsToPoll(ranks []domain.Target) map[domain.InstanceID]bool {
+	now, maxAge := clock.Now(), p.maxReportAge()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	out := map[domain.InstanceID]bool{}
+	for _, t := range ranks {
+		if p.reporters.ShouldQueryTarget(now, t.Hall(), t.ID(), maxAge) {
+			out[t.ID()] = true
+		}
+	}
+	return out
+}
+
+// interval returns the time between two requests about a hall. If halls have hubs, only the hubs
+// query other halls; otherwise all boxes do, though not all query the same box.
+func (p *hallPoller) interval() time.Duration {
+	p.mu.Lock()
+	role, halls := p.role, len(p.halls)
+	p.mu.Unlock()
+	if role != membership.Standalone {
+		return pollInterval(membership.HubsPerHall * halls)
+	}
+	boxes, _ := p.entry.peering.reachable()
+	return pollInterval(boxes)
+}
+
+// maxReportAge returns the age up to which this box relies on another box's report of a target. In a
+// hall with hubs, a report passes through two boxes after the one that received it from the target.
+func (p *hallPoller) maxReportAge() time.Duration {
+	return max(minMaxReportAge, 2*(agentPollInterval+p.interval()))
+}
+
+// forget deletes the report times of the targets for which keep returns false.
+func (p *hallPoller) forget(keep func(domain.InstanceID) bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.reporters.Forget(keep)
+}
+
+// startLoop starts the poll loop of the hall, unless it is running.
+func (p *hallPoller) startLoop(ctx context.Context, hall domain.HallName) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.halls[hall] {
+		return
+	}
+	p.halls[hall] = true
+	go p.run(ctx, hall)
+}
+
+func (p *hallPoller) run(ctx context.Context, hall domain.HallName) {
+	for ctx.Err() == nil {
+		pause := p.interval()
+		if p.shouldPoll(hall) {
+			p.poll(ctx, hall)
+		} else {
+			pause = p.maxReportAge() / 2 // then checks whether the hubs still report on the hall
+		}
+		clock.SleepUntil(ctx, clock.Now().Add(pause))
+	}
+}
+
+// shouldPoll reports whether this box is to query another box about the hall now.
+func (p *hallPoller) shouldPoll(hall domain.HallName) bool {
+	maxAge := p.maxReportAge()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.reporters.ShouldQueryPeer(clock.Now(), hall, maxAge)
+}
+
+// poll queries one box of the hall, if any is reachable.
+func (p *hallPoller) poll(ctx context.Context, hall domain.HallName) {
+	hubs := membership.HubsOf(p.entry.peering.inHall(hall))
+	p.mu.Lock()
+	box, ok := p.reporters.Choose(hall, hubs)
+	p.mu.Unlock()
+	if !ok {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, hallPollTimeout)
+	defer cancel()
+	report, err := mesh.Call[mesh.HallQuery, mesh.HallReport](ctx, p.entry.mesh, box.Address, mesh.QueryHall,
+		&mesh.HallQuery{All: hall == p.hall()})
+	if err != nil {
+		p.handleFailure(hall, box.Box, err)
+		return
+	}
+	p.applyReport(hall, box.Box, report)
+}
+
+// handleFailure handles a failed request to the box for the report of the hall.
+func (p *hallPoller) handleFailure(hall domain.HallName, box domain.BoxID, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.reporters.Failed(hall, box) {
+		p.entry.common.Log.Warn("no peer reports on hall, watching its targets directly", "hall", hall, "peer", box, "err", err)
+	}
+}
+
+// applyReport passes the statuses in the report to the roster and the balancer, each as of the time
+// at which it was received from its target.
+func (p *hallPoller) applyReport(hall domain.HallName, box domain.BoxID, r *mesh.HallReport) {
+	now := clock.Now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.reporters.Answered(hall, box) {
+		p.entry.common.Log.Info("hall watched through peer", "hall", hall, "peer", box, "targets", len(r.Targets))
+	}
+	if hall == p.hall() {
+		p.hubFollowsAt = time.Time{}
+		if r.FollowsStore {
+			p.hubFollowsAt = now
+		}
+	}
+	p.entry.fleet.with(func(ros *membership.Roster, b *routing.Balancer) {
+		for _, x := range r.Targets {
+			at := now.Add(-x.Age)
+			target, _ := ros.Get(x.ID)
+			p.reporters.Received(target.Hall(), x.ID, at)
+			p.statuses.RecordFromPeer(at, x)
+			own := domain.Rank{Epoch: uint64(x.Epoch), Open: x.Open}
+			if ros.Reported(at, x.ID, own, uint64(x.Step), x.Running > 0) {
+				b.Report(at, x.ID, routing.Report{Running: x.Running, Waiting: x.Waiting, Slowdown: float64(x.Slowdown)})
+			}
+			if x.BoxUnresponsive {
+				ros.PeerUnreachable(now, x.ID, at)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/node/rank/groupcoordinator.go
@@ -0,0 +1,287 @@
+package rank
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"clovertrail.dev/core/clock"
+	"clovertrail.dev/experts/rebalance"
+	"clovertrail.dev/mapswitch/orders"
+	"clovertrail.dev/mesh"
+	"clovertrail.dev/node/distribution"
+	"clovertrail.dev/platform"
+)
+
+// Intervals, timeouts and sizes used to coordinate a group.
+const (
+	// coordinatorTick is the time between two checks for due work: less than a step.
+	coordinatorTick = 20 * time.Millisecond
+	// idleTick is the same for a rank that does not coordinate: several checks within the
+	// time without a read after which it takes over.
+	idleTick = 100 * time.Millisecond
+	// readTimeout bounds a read of another rank.
+	readTimeout = 250 * time.Millisecond
+	// orderTimeout bounds an order to another rank; the coordinator resends the order.
+	orderTimeout = 150 * time.Millisecond
+	// unresponsivePeriod is how long an agent that did not respond is bypassed: its engine
+	// is read directly, which the platform charges for. Together with readTimeout it is
+	// shorter than the time without a read after which the next rank takes over: an agent
+	// that is only slow must not consider the coordinator lost.
+	unresponsivePeriod = 200 * time.Millisecond
+	// parallelMapSendTime bounds how long whole maps that are sent in parallel fill this
+	// box's link, and so the delay of messages queued behind them.
+	parallelMapSendTime = 25 * time.Millisecond
+	// frequentReadPeriod is how long after an attempt its ranks are read more often: until
+	// the armed step has begun, a few steps later.
+	frequentReadPeriod = 250 * time.Millisecond
+	// linkShare is the share of the box's link that reads and the distribution of maps may
+	// use; the rest is left to the engine and to requests.
+	linkShare = 0.4
+	// Sizes on the wire: of one slot of a map, of the count of one expert, and of a report
+	// without its counts.
+	bytesPerSlot, bytesPerCount, reportBytes = 2, 1, 300
+	// rowHeaderSlots is the size of the header of a row on the wire, in slots.
+	rowHeaderSlots = 3
+	// copySlowdown is the increase of the step time while ranks copy, as a share; the
+	// platform specifies it.
+	copySlowdown = 0.15
+)
+
+// groupCoordinator coordinates the group of the agent's rank while no lower rank does. All
+// fields that mu does not guard belong to the goroutine of run.
+type groupCoordinator struct {
+	agent   *Agent
+	numbers *orders.NumberGenerator // shared by all coordinators of the process
+	results chan event
+
+	rank      int
+	size      int
+	group     string
+	coord     *orders.Coordinator
+	members   map[int]mesh.Member
+	shape     rebalance.Shape
+	counts    *distribution.Counter
+	estimate  *rebalance.Estimate
+	slowdowns []float64 // by rank, as last reported
+	// experts holds, by rank, the experts of the map in use as far as they were read, all
+	// of version expertsVersion.
+	experts         map[int][][]int
+	expertsVersion  orders.Version
+	lastFullRead    time.Time            // start of the last read of all ranks
+	lastPartialRead time.Time            // start of the last read of the ranks that an attempt needs
+	lastCountsRead  time.Time            // start of the last read that requested counts
+	relays          *distribution.Relays // nil if each rank is called directly
+	readTime        time.Duration        // of the slowest recent reads
+	overhead        time.Duration        // of a map change, in addition to its copies
+	copyTime        time.Duration        // expected for the proposed map
+	sentMaps        *distribution.SentMaps
+	changedRows     int           // rows of the proposed map that differ from the map in use
+	mapSends        chan struct{} // semaphore of the whole maps sent in parallel
+	lastAttemptEnd  time.Time
+	planDue         bool // counts were added to the estimate since the last plan
+	readInFlight    map[int]bool
+	leading         bool
+	unresponsive    *unresponsiveAgents
+	readFailed      map[int]bool // by rank, for the last read
+
+	mu       sync.Mutex
+	stopping bool
+}
+
+// event is the outcome of a call, sent to the goroutine of run. The set of types is closed:
+// readDone, gatherDone, orderDone and batchDone.
+type event interface{ event() }
+
+// readDone is the outcome of a read of one rank.
+type readDone struct {
+	rank       int
+	epoch      orders.Epoch // at the start of the read
+	withCounts bool         // the read requested expert counts
+	startedAt  time.Time
+	report     *mesh.RankReport
+	err        error
+}
+
+// gatherDone is the outcome of a read of several ranks through a relay.
+type gatherDone struct {
+	assignment distribution.Assignment
+	epoch      orders.Epoch
+	withCounts bool
+	startedAt  time.Time
+	report     *mesh.GatherReply
+	err        error
+}
+
+// orderDone is the outcome of an order to one rank.
+type orderDone struct {
+	call     orders.Call
+	viaAgent bool // sent through the agent of the rank
+	result   orders.Result
+	err      error
+}
+
+// batchDone is the outcome of orders that were sent in one call.
+type batchDone struct{ orders []orderDone }
+
+func (readDone) event()   {}
+func (gatherDone) event() {}
+func (orderDone) event()  {}
+func (batchDone) event()  {}
+
+func newGroupCoordinator(a *Agent) *groupCoordinator {
+	return &groupCoordinator{agent: a, numbers: orders.NewNumberGenerator(uint16(rand.Uint32())), results: make(chan event, 64), readInFlight: map[int]bool{}, unresponsive: newUnresponsiveAgents(), readFailed: map[int]bool{}}
+}
+
+// beginStop makes run return as soon as no attempt holds the group.
+func (g *groupCoordinator) beginStop() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.stopping = true
+}
+
+func (g *groupCoordinator) isStopping() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.stopping
+}
+
+// run handles events and coordinates the group until ctx ends, or until beginStop was called
+// and no attempt holds the group.
+func (g *groupCoordinator) run(ctx context.Context) {
+	tick := time.NewTicker(idleTick)
+	defer tick.Stop()
+	every := idleTick
+	for ctx.Err() == nil {
+		select {
+		case <-ctx.Done():
+			return
+		case e := <-g.results:
+			g.handleEvent(e)
+		case <-tick.C:
+			g.tick(ctx)
+		}
+		if g.coord != nil {
+			g.issueOrders(ctx)
+		}
+		if want := g.tickInterval(); want != every {
+			every = want
+			tick.Reset(want)
+		}
+		if g.isStopping() && (g.coord == nil || !g.coord.Holding()) {
+			return
+		}
+	}
+}
+
+// tickInterval returns the time between two checks for due work.
+func (g *groupCoordinator) tickInterval() time.Duration {
+	if g.coord == nil || !g.leading && g.coord.Idle() {
+		return idleTick
+	}
+	return coordinatorTick
+}
+
+func (g *groupCoordinator) handleEvent(e event) {
+	now := clock.Now()
+	switch e := e.(type) {
+	case readDone:
+		g.handleRead(now, e)
+	case gatherDone:
+		g.handleGather(now, e)
+	case orderDone:
+		g.handleOrder(now, e)
+	case batchDone:
+		for _, o := range e.orders {
+			g.handleOrder(now, o)
+		}
+	}
+}
+
+// tick reads the own engine, decides whether to coordinate, and starts the reads that are due.
+func (g *groupCoordinator) tick(ctx context.Context) {
+	now := clock.Now()
+	if now.Sub(g.lastFullRead) < readInterval && !g.awaitsReads() {
+		return
+	}
+	own, err := g.agent.engineReport(ctx, readInterval/2)
+	if err != nil || own.Rank.Size < 1 {
+		return
+	}
+	g.updateRole(now, own)
+	if g.coord == nil || !g.leading {
+		return
+	}
+	switch since := now.Sub(g.lastFullRead); {
+	case since >= readInterval:
+		g.lastFullRead, g.lastPartialRead = now, now
+		g.readTime = time.Duration(readTimeDecay * float64(g.readTime))
+		g.readRanks(ctx, func(int) bool { return true })
+	case g.awaitsReads() && (now.Sub(g.lastPartialRead) >= readInterval/2 || g.coord.AllPrepared()):
+		g.lastPartialRead = now
+		g.readRanks(ctx, func(r int) bool { return r == g.rank || g.coord.NeedsRead(now, r) })
+	}
+}
+
+// awaitsReads reports whether an attempt is under way or has ended within frequentReadPeriod:
+// only reads of the ranks show its progress.
+func (g *groupCoordinator) awaitsReads() bool {
+	return g.coord != nil && (!g.coord.Idle() || clock.Since(g.lastAttemptEnd) < frequentReadPeriod)
+}
+
+// updateRole starts or stops coordinating, depending on the state of the group and on whether
+// a lower rank coordinates. A coordinator that holds the group continues until the release.
+func (g *groupCoordinator) updateRole(now time.Time, own platform.Report) {
+	leading := g.agent.leads(now, own.Rank.Number) && own.State.Open
+	members, shape, known := g.agent.groupIn(own.State.Epoch, own.Rank.Size)
+	if g.coord != nil && g.coord.Epoch() != own.State.Epoch {
+		g.log("group formed anew", "epoch", own.State.Epoch, "before", g.coord.Epoch())
+		g.coord = nil
+	}
+	if !known {
+		return
+	}
+	if g.coord == nil && leading {
+		g.startCoordinating(own, members, shape)
+	}
+	if g.coord != nil && leading != g.leading {
+		g.log("coordinating", "leading", leading, "epoch", own.State.Epoch, "relays", g.relayPartitions())
+	}
+	g.leading = leading || g.coord != nil && g.coord.Holding()
+}
+
+// relayPartitions returns the number of partitions that relays read; 0 without relays.
+func (g *groupCoordinator) relayPartitions() int {
+	if g.relays == nil {
+		return 0
+	}
+	return g.relays.Partitions()
+}
+
+// startCoordinating resets the state for the group in its present epoch.
+func (g *groupCoordinator) startCoordinating(own platform.Report, members map[int]mesh.Member, shape rebalance.Shape) {
+	g.rank, g.size, g.group = own.Rank.Number, own.Rank.Size, string(own.Rank.Group)
+	shape.Ranks = g.size
+	g.members, g.shape = members, shape
+	g.coord = orders.NewCoordinator(g.rank, g.size, own.State.Epoch, g.numbers)
+	g.counts = distribution.NewCounter(shape)
+	g.experts, g.expertsVersion = map[int][][]int{}, 0
+	clear(g.readInFlight)
+	g.unresponsive.reset()
+	g.sentMaps = distribution.NewSentMaps()
+	g.relays, g.readTime = nil, 0
+	if g.needsRelays() {
+		g.relays = distribution.NewRelays(g.rank, members)
+	}
+	g.mapSends = make(chan struct{}, max(1, int(parallelMapSendTime/max(g.wholeMapSendTime(), 1))))
+	g.changedRows = 0
+	g.overhead = max(g.overhead, g.distributionTime())
+	g.estimate = rebalance.NewEstimate(shape)
+	g.slowdowns = make([]float64, g.size)
+}
+
+// log logs the message with the group and the own rank.
+func (g *groupCoordinator) log(msg string, attrs ...any) {
+	g.agent.common.Log.Info(msg, append([]any{"group", g.group, "rank", g.rank}, attrs...)...)
+}
--- a/node/rank/relaying.go
+++ b/node/rank/relaying.go
@@ -13,19 +13,19 @@
 	"clovertrail.dev/telemetry"
 )
 
-// relayWithin bounds a read that a relay makes for the coordinator: less than the
-// coordinator waits for the relay, so that one silent rank does not cost the news of the
-// others.
-const relayWithin = readWithin * 3 / 5
+// relayReadTimeout bounds a read that a relay makes for the coordinator. It is shorter than the
+// coordinator's timeout for the relay, so that one rank that does not respond does not cost the
+// reports of the others.
+const relayReadTimeout = readTimeout * 3 / 5
 
-// gather reads ranks of the own group for its coordinator. A rank that does not answer in
-// time is left out.
-func (a *Agent) gather(ctx context.Context, q *mesh.GatherQuery) (*mesh.Gathered, error) {
+// handleGather reads ranks of the own group for its coordinator. The response leaves out ranks
+// that do not respond in time.
+func (a *Agent) handleGather(ctx context.Context, q *mesh.GatherQuery) (*mesh.GatherReply, error) {
 	members, ok := a.membersIn(q.Epoch)
 	if !ok {
-		return nil, fault.New(fault.BadRequest, "the group's members are not known in epoch %d", q.Epoch)
+		return nil, fault.New(fault.BadRequest, "members of the group in epoch %d were not received", q.Epoch)
 	}
-	ctx, cancel := context.WithTimeout(ctx, relayWithin)
+	ctx, cancel := context.WithTimeout(ctx, relayReadTimeout)
 	defer cancel()
 	reports := make([]*mesh.RankReport, len(q.Ranks))
 	var reads sync.WaitGroup
@@ -34,108 +34,110 @@
 		if !known {
 			continue
 		}
-		reads.Go(func() { reports[i] = a.readFor(ctx, m, &q.Read) })
+		reads.Go(func() { reports[i] = a.readForCoordinator(ctx, m, &q.Read) })
 	}
 	reads.Wait()
-	return gathered(q.Ranks, reports), nil
+	return gatherReply(q.Ranks, reports), nil
 }
 
-// readFor reads one rank, the own or another's; nil if it did not answer.
-func (a *Agent) readFor(ctx context.Context, m mesh.Member, q *mesh.ReadQuery) *mesh.RankReport {
+// readForCoordinator reads the own or another rank; nil if the read failed.
+func (a *Agent) readForCoordinator(ctx context.Context, m mesh.Member, q *mesh.ReadQuery) *mesh.RankReport {
 	var report *mesh.RankReport
 	var err error
 	if m.Agent == a.settings().Peers {
-		report, err = a.read(ctx, q)
+		report, err = a.handleRead(ctx, q)
 	} else {
 		report, err = mesh.Call[mesh.ReadQuery, mesh.RankReport](ctx, a.mesh, m.Agent, mesh.Read, q)
 	}
 	if err != nil {
-		a.common.Log.Debug("rank not read for the coordinator", "rank", m.Rank, "from", q.From, "err", err)
+		a.common.Log.Debug("relay could not read rank; leaving it out of the response", "rank", m.Rank, "from", q.From, "err", err)
 		return nil
 	}
 	return report
 }
 
-func gathered(ranks []int, reports []*mesh.RankReport) *mesh.Gathered {
-	out := &mesh.Gathered{}
-	var picked []*mesh.Picked
+// gatherReply combines the reports into one response. A nil report is left out.
+func gatherReply(ranks []int, reports []*mesh.RankReport) *mesh.GatherReply {
+	out := &mesh.GatherReply{}
+	var counts []*mesh.ExpertCounts
 	for i, r := range reports {
 		if r != nil {
-			out.Ranks = append(out.Ranks, mesh.WordOf(ranks[i], r))
-			picked = append(picked, r.Picked)
+			out.Ranks = append(out.Ranks, mesh.NewRankStatus(ranks[i], r))
+			counts = append(counts, r.ExpertCounts)
 		}
 	}
-	out.Picked = mesh.Sum(picked)
+	out.ExpertCounts = mesh.SumExpertCounts(counts)
 	return out
 }
 
-// deal hands an order to ranks of the own group, or to engines elsewhere.
-func (a *Agent) deal(ctx context.Context, c *mesh.DealCall) (*mesh.DealReply, error) {
+// handleDeal sends an order to ranks of the own group, or to the engines that the call names.
+func (a *Agent) handleDeal(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
 	if len(c.Engines) > 0 {
-		return DealOut(ctx, a.common, a.http, c)
+		return ForwardToEngines(ctx, a.common, a.http, c)
 	}
 	members, ok := a.membersIn(c.Order.Epoch)
 	if !ok {
-		return nil, fault.New(fault.BadRequest, "the group's members are not known in epoch %d", c.Order.Epoch)
+		return nil, fault.New(fault.BadRequest, "members of the group in epoch %d were not received", c.Order.Epoch)
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.Left)
+	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	reply := &mesh.DealReply{Dealt: make([]mesh.Dealt, len(c.Ranks))}
-	var gives sync.WaitGroup
+	reply := &mesh.FanOutReply{Results: make([]mesh.FanOutResult, len(c.Ranks))}
+	var sends sync.WaitGroup
 	for i, r := range c.Ranks {
-		reply.Dealt[i].Result = orders.Lost
+		reply.Results[i].Result = orders.Lost
 		if m, known := members[r]; known {
-			gives.Go(func() { reply.Dealt[i] = a.dealOne(ctx, m, c.Order) })
+			sends.Go(func() { reply.Results[i] = a.relayOrder(ctx, m, c.Order) })
 		}
 	}
-	gives.Wait()
+	sends.Wait()
 	return reply, nil
 }
 
-// dealOne hands the order to one rank, the own or another's.
-func (a *Agent) dealOne(ctx context.Context, m mesh.Member, o mesh.OrderCall) mesh.Dealt {
+// relayOrder sends the order to the own or another rank.
+func (a *Agent) relayOrder(ctx context.Context, m mesh.Member, o mesh.OrderCall) mesh.FanOutResult {
 	var reply *mesh.OrderReply
 	var err error
 	if o.Prepare != nil {
-		prepare := *o.Prepare // the own agent makes it whole; the others receive what changed
+		prepare := *o.Prepare // the own agent expands it in place; the others receive only the changed rows
 		o.Prepare = &prepare
 	}
 	if m.Agent == a.settings().Peers {
-		reply, err = a.command(ctx, &o)
+		reply, err = a.handleCommand(ctx, &o)
 	} else {
-		reply, err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, m.Agent, mesh.Command, &o)
+		reply, err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, m.Agent, mesh.SendOrder, &o)
 	}
 	if err != nil {
-		return mesh.Dealt{Result: orders.Lost, UnknownBase: mesh.IsUnknownBase(err)}
+		return mesh.FanOutResult{Result: orders.Lost, UnknownBase: mesh.IsUnknownBase(err)}
 	}
-	return mesh.Dealt{Result: reply.Result}
+	return mesh.FanOutResult{Result: reply.Result}
 }
 
-// dealMost bounds how long orders are handed out for another group, whatever its coordinator asks.
-const dealMost = time.Second
+// maxForwardTime bounds the time spent on forwarding an order of another group, whatever
+// timeout its coordinator requests.
+const maxForwardTime = time.Second
 
-// DealOut gives one order to all engines that the call names, for the coordinator of a
-// group that is not the own.
-func DealOut(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.DealCall) (*mesh.DealReply, error) {
+// ForwardToEngines sends one order to all engines that the call names, on behalf of another
+// group's coordinator.
+func ForwardToEngines(ctx context.Context, c telemetry.Common, client *http.Client, call *mesh.FanOutCall) (*mesh.FanOutReply, error) {
 	o := call.Order.Order()
 	if o == nil {
-		return nil, fault.New(fault.BadRequest, "a call without an order")
+		return nil, fault.New(fault.BadRequest, "call to forward an order to %d engines contains no order", len(call.Engines))
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(call.Left, dealMost))
+	ctx, cancel := context.WithTimeout(ctx, min(call.Timeout, maxForwardTime))
 	defer cancel()
-	reply := &mesh.DealReply{Dealt: make([]mesh.Dealt, len(call.Engines))}
-	var gives sync.WaitGroup
+	reply := &mesh.FanOutReply{Results: make([]mesh.FanOutResult, len(call.Engines))}
+	var sends sync.WaitGroup
 	for i, address := range call.Engines {
-		gives.Go(func() {
-			given := orders.Call{Epoch: call.Order.Epoch, Fence: call.Order.Fence, Order: o}
-			res, err := giveOrder(ctx, c, platform.NewEngine(address, client), given)
+		sends.Go(func() {
+			engineCall := orders.Call{Epoch: call.Order.Epoch, Fence: call.Order.Fence, Order: o}
+			res, err := issueOrder(ctx, c, platform.NewEngine(address, client), engineCall)
 			if err != nil {
-				c.Log.Debug("order not answered", "engine", address, "order", orders.Name(o), "err", err)
+				c.Log.Debug("engine did not respond to forwarded order; reporting it as lost", "engine", address, "order", orders.Name(o), "err", err)
 				res = orders.Lost
 			}
-			reply.Dealt[i].Result = res
+			reply.Results[i].Result = res
 		})
 	}
-	gives.Wait()
+	sends.Wait()
 	return reply, nil
 }
