--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -27,7 +27,7 @@
 type testCodec struct{}
 
 func (testCodec) ParseRequest(now time.Time, r *http.Request) (call.Request, error) {
-	f := call.Fields{ID: call.ID(r.Header.Get("Id")), Host: r.Host, Path: r.URL.Path, Key: r.Header.Get("Key"), After: r.Header.Get("After")}
+	f := call.Fields{ID: call.ID(r.Header.Get("Id")), Host: r.Host, Path: r.URL.Path, Key: r.Header.Get("Key"), LastEventID: r.Header.Get("After")}
 	if left, err := time.ParseDuration(r.Header.Get("Left")); err == nil {
 		f.Deadline = now.Add(left)
 	}
@@ -38,26 +38,26 @@
 	h.Del("Key")
 	h.Set("Instance", string(a.Instance))
 	h.Set("Organisation", string(a.Organisation))
-	if a.After != "" {
-		h.Set("After", a.After)
+	if a.LastEventID != "" {
+		h.Set("After", a.LastEventID)
 	}
 }
 
-func (testCodec) ParseResponse(now time.Time, r *http.Response) call.Answer {
-	a := call.Answer{
+func (testCodec) ParseResponse(now time.Time, r *http.Response) call.Response {
+	a := call.Response{
 		ID: call.ID(r.Header.Get("Id")), Status: r.StatusCode, Outcome: call.Served,
 		Leaving: r.Header.Get("Leaving") != "",
 	}
 	if rest, err := time.ParseDuration(r.Header.Get("Retry-After") + "s"); err == nil {
-		a.Again = now.Add(rest)
+		a.RetryAt = now.Add(rest)
 	}
 	switch {
 	case r.Header.Get("Not-Run") != "":
 		a.Outcome = call.Declined
 	case r.StatusCode == http.StatusMisdirectedRequest:
-		a.Outcome = call.Elsewhere
+		a.Outcome = call.WrongInstance
 	case r.Header.Get("Signed") == "":
-		a.Outcome = call.Foreign
+		a.Outcome = call.Unrecognised
 	case r.StatusCode >= 500:
 		a.Outcome = call.Failed
 	}
@@ -217,7 +217,7 @@
 	return !slices.Contains(l.f.unavailable, l.x.name)
 }
 
-func (l *lease) UpdateStatus(now time.Time, a call.Answer) {
+func (l *lease) UpdateStatus(now time.Time, a call.Response) {
 	l.f.mu.Lock()
 	defer l.f.mu.Unlock()
 	if a.Leaving {
--- a/membership/instances_test.go
+++ b/membership/instances_test.go
@@ -12,17 +12,17 @@
 	"clovertrail.dev/store"
 )
 
-// instance returns the instance of "a" with the birth time; 0 is for an instance without one.
-func instance(born domain.Born) domain.InstanceID {
-	id, err := domain.InstanceOf("a", born)
+// instance returns the instance of "a" with the start time; 0 is for an instance whose start time is unknown.
+func instance(born domain.StartTime) domain.InstanceID {
+	id, err := domain.NewInstanceID("a", born)
 	if err != nil {
 		panic(err) // the id is constant
 	}
 	return id
 }
 
-// born returns an update of the instance of "a" with the birth time.
-func born(at domain.Born, state domain.TargetState, rev store.Revision) membership.TargetUpdate {
+// born returns an update of the instance of "a" with the start time.
+func born(at domain.StartTime, state domain.TargetState, rev store.Revision) membership.TargetUpdate {
 	id := instance(at)
 	return membership.TargetUpdate{ID: id, At: pos(rev), Target: target(string(id), state, nil)}
 }
@@ -47,7 +47,7 @@
 		{"another box reports the later instance late", []membership.TargetUpdate{born(1, ready, 5), born(2, ready, 3)}, instance(2)},
 		{"a removal at a later position than the later instance", []membership.TargetUpdate{born(1, ready, 1), gone("a", 9), born(2, ready, 3)}, ""},
 		{"its entry is removed, and the next instance starts", []membership.TargetUpdate{born(1, ready, 1), gone("a", 2), born(2, ready, 3)}, instance(2)},
-		{"an entry without the birth time is from another writer", []membership.TargetUpdate{born(1, ready, 1), born(0, ready, 2)}, ""},
+		{"an entry without a start time is from another writer", []membership.TargetUpdate{born(1, ready, 1), born(0, ready, 2)}, ""},
 		{"the next entry of its own is used", []membership.TargetUpdate{born(1, ready, 1), born(0, ready, 2), born(1, ready, 3)}, instance(1)},
 		{"an entry that names no target", []membership.TargetUpdate{born(1, ready, 1), unusable()}, ""},
 		{"an entry that names no target, older than the known one", []membership.TargetUpdate{born(1, ready, 3), unusable()}, instance(1)},
@@ -118,7 +118,7 @@
 func TestInstancesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var history []membership.TargetUpdate
-		at := domain.Born(1)
+		at := domain.StartTime(1)
 		for rev := store.Revision(1); rev <= 12; rev++ {
 			if rapid.IntRange(0, 3).Draw(rt, "again") == 0 {
 				at++
@@ -126,12 +126,12 @@
 			state := rapid.SampledFrom([]domain.TargetState{domain.TargetReady, domain.TargetLeaving}).Draw(rt, "state")
 			history = append(history, born(at, state, rev))
 		}
-		r, latest := newRoster(), domain.Born(0)
+		r, latest := newRoster(), domain.StartTime(0)
 		deliver := func(u membership.TargetUpdate) {
 			r.ApplyUpdate(start, u)
-			latest = max(latest, u.ID.Born())
+			latest = max(latest, u.ID.StartTime())
 			for _, x := range r.Ranked(start, "s") {
-				if x.Target.ID().Born() != latest {
+				if x.Target.ID().StartTime() != latest {
 					rt.Fatalf("uses %s after an update of the instance born at %d", x.Target.ID(), latest)
 				}
 			}
--- a/node/distribution/count_deltas.go
+++ b/node/distribution/count_deltas.go
@@ -30,7 +30,7 @@
 // countSample holds the running counts of an engine at one time.
 type countSample struct {
 	at     time.Time
-	born   domain.Born // start of the engine's process
+	born   domain.StartTime // start of the engine's process
 	counts []uint64
 }
 
@@ -43,7 +43,7 @@
 // cannot be computed, as for a first request, after a restart of the engine or after
 // maxSampleAge. A restarted engine counts from zero. Its counts may have grown past those of the
 // previous process, and then only the changed start time shows the restart.
-func (d *CountDeltas) Since(now time.Time, requester Requester, born domain.Born, counts []uint64) *mesh.ExpertCounts {
+func (d *CountDeltas) Since(now time.Time, requester Requester, born domain.StartTime, counts []uint64) *mesh.ExpertCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.last[requester.Group] == nil {
--- a/node/entry.go
+++ b/node/entry.go
@@ -60,7 +60,7 @@
 		func() bool { return e.peering.isolated(clock.Now()) },
 		func() store.Era { return e.timeline.latest().Era() })
 	e.gateway = gateway.New(gateway.Dependencies{
-		Common: c, Headers: platform.Speech{}, Fleet: e.fleet, Pool: e.pool, Budget: e.budgets.forService,
+		Common: c, Headers: platform.HeaderCodec{}, Fleet: e.fleet, Pool: e.pool, Budget: e.budgets.forService,
 		Quarantine: e.quarantine,
 	})
 	e.peering = newPeering(e)
--- a/node/entry_test.go
+++ b/node/entry_test.go
@@ -155,8 +155,8 @@
 	b.rig.requests++
 	id := "q-" + strconv.Itoa(b.rig.requests)
 	b.rig.mu.Unlock()
-	return standin.Ask(context.Background(), b.rig.client, "http://"+b.settings.Callers, standin.Request{
-		ID: id, Path: path, Key: key, Body: "body", Within: waitTimeout,
+	return standin.Send(context.Background(), b.rig.client, "http://"+b.settings.Callers, standin.Request{
+		ID: id, Path: path, Key: key, Body: "body", Timeout: waitTimeout,
 	})
 }
 
@@ -183,7 +183,7 @@
 // waitUntilServing waits until the box is ready and serves requests.
 func (r *rig) waitUntilServing(b *box) {
 	r.t.Helper()
-	r.waitUntil("the box serves", func() bool { return b.ready() && b.request("/again/x", key).Right })
+	r.waitUntil("the box serves", func() bool { return b.ready() && b.request("/again/x", key).Correct })
 }
 
 func TestEntryServesCallers(t *testing.T) {
@@ -207,8 +207,8 @@
 	}
 	for _, tc := range tests {
 		got := b.request(tc.path, tc.key)
-		if got.Status != tc.status || got.Right != (tc.status == http.StatusOK) {
-			t.Errorf("%s: status %d, want %d; right: %v, wrong: %s, error: %v", tc.name, got.Status, tc.status, got.Right, got.Wrong, got.Err)
+		if got.Status != tc.status || got.Correct != (tc.status == http.StatusOK) {
+			t.Errorf("%s: status %d, want %d; right: %v, wrong: %s, error: %v", tc.name, got.Status, tc.status, got.Correct, got.Mismatch, got.Err)
 		}
 	}
 }
@@ -220,13 +220,13 @@
 	r := newRig(t)
 	r.target("i-1")
 	r.configure(1)
-	r.store.SetTrouble(standin.Busy, 0)
+	r.store.SetFailureMode(standin.Unavailable, 0)
 	b := r.box("box-1", nil)
 	r.waitUntil("the box answers", func() bool { return b.request("/again/x", key).Status != 0 })
-	if got := b.request("/again/x", key); b.ready() || got.Status != http.StatusServiceUnavailable || got.Again <= 0 {
-		t.Errorf("without a configuration: ready %v, status %d, retry after %v", b.ready(), got.Status, got.Again)
+	if got := b.request("/again/x", key); b.ready() || got.Status != http.StatusServiceUnavailable || got.RetryAfter <= 0 {
+		t.Errorf("without a configuration: ready %v, status %d, retry after %v", b.ready(), got.Status, got.RetryAfter)
 	}
-	r.store.SetTrouble(standin.Sound, 0)
+	r.store.SetFailureMode(standin.Healthy, 0)
 	r.waitUntilServing(b)
 }
 
@@ -238,7 +238,7 @@
 	first := r.box("box-1", func(s *process.EntrySettings) { s.Meeting = r.freeAddress() })
 	r.waitUntilServing(first)
 	busy := standin.NewStore()
-	busy.SetTrouble(standin.Busy, 0)
+	busy.SetFailureMode(standin.Unavailable, 0)
 	second := r.box("box-2", func(s *process.EntrySettings) {
 		s.Store = r.serve(busy)
 		s.Meeting = r.freeAddress()
@@ -247,7 +247,7 @@
 	r.waitUntilServing(second)
 	r.configure(2)
 	r.waitUntil("the second box has the next configuration", func() bool {
-		return second.request(standin.VersionPath(2), key).Right
+		return second.request(standin.VersionPath(2), key).Correct
 	})
 }
 
@@ -265,7 +265,7 @@
 	})
 	r.put("servers", draining, x.Object(address, "hall-1", "draining"))
 	r.configure(2)
-	r.waitUntil("the box has the next configuration", func() bool { return b.request(standin.VersionPath(2), key).Right })
+	r.waitUntil("the box has the next configuration", func() bool { return b.request(standin.VersionPath(2), key).Correct })
 	// The configuration and the targets are watched separately, so the next configuration does not
 	// show that the box has the target's state.
 	unused := 0 // requests in a row that did not reach the draining target
@@ -289,7 +289,7 @@
 	r.configure(1)
 	b := r.box("box-1", nil)
 	r.waitUntilServing(b)
-	x.Behave(func(h *standin.Habits) { h.Events, h.Gap = 40, 25*time.Millisecond })
+	x.ChangeBehaviour(func(h *standin.Behaviour) { h.Events, h.EventGap = 40, 25*time.Millisecond })
 	before := r.runsAt("i-1")
 	replies := make(chan standin.Reply, 4)
 	for range cap(replies) {
@@ -299,8 +299,8 @@
 	b.stop()
 	r.waitUntil("the box reports that it is not ready", func() bool { return !b.ready() })
 	for range cap(replies) {
-		if got := <-replies; !got.Right {
-			t.Errorf("stream ended with status %d, wrong: %s, error: %v", got.Status, got.Wrong, got.Err)
+		if got := <-replies; !got.Correct {
+			t.Errorf("stream ended with status %d, wrong: %s, error: %v", got.Status, got.Mismatch, got.Err)
 		}
 	}
 }
--- a/node/lease.go
+++ b/node/lease.go
@@ -40,7 +40,7 @@
 }
 
 // UpdateStatus implements gateway.Lease.
-func (l *lease) UpdateStatus(now time.Time, a call.Answer) {
+func (l *lease) UpdateStatus(now time.Time, a call.Response) {
 	l.fleet.with(func(r *membership.Roster, b *routing.Balancer) {
 		if a.Load != nil {
 			b.Report(now, l.target.ID(), routing.Report{Running: a.Load.Running, Waiting: a.Load.Waiting})
@@ -48,7 +48,7 @@
 		if until := a.RestUntil(); !until.IsZero() {
 			r.RestRequested(l.target.ID(), until)
 		}
-		if a.NoRoom(l.target.ID().Listed()) {
+		if a.AtCapacity(l.target.ID().ListedID()) {
 			r.Rejected(now, l.target.ID())
 		}
 	})
--- a/node/main.go
+++ b/node/main.go
@@ -38,7 +38,7 @@
 type loadedProcess struct {
 	process       runner
 	common        telemetry.Common
-	logLines      *telemetry.Lines
+	logLines      *telemetry.LineWriter
 	watchSettings func(changed <-chan struct{}) // reloads the settings file when it changes
 	onResume      func()                        // called after a suspension of the machine
 }
@@ -62,7 +62,7 @@
 	}()
 	stop, changed := handleSignals(p.common)
 	go p.watchSettings(changed)
-	go clock.NewWatch(clock.Machine).Run(context.Background(), p.onSuspended)
+	go clock.NewSuspensionMonitor(clock.ReadMachineOffset).Run(context.Background(), p.onSuspended)
 	err = p.process.Run(stop)
 	close(ended)
 	<-logged
@@ -119,7 +119,7 @@
 // newLoadedProcess returns a process without a runner that logs to standard output.
 func newLoadedProcess(box string) *loadedProcess {
 	m := telemetry.NewMetrics()
-	lines := telemetry.NewLines(os.Stdout, m, telemetry.LineBytesPerSecond)
+	lines := telemetry.NewLineWriter(os.Stdout, m, telemetry.LineBytesPerSecond)
 	c := telemetry.New(lines, box)
 	c.Metrics = m
 	return &loadedProcess{common: c, logLines: lines, onResume: func() {}}
--- /dev/null
+++ b/soak/recorder.go
@@ -0,0 +1,231 @@
+package soak
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"sort"
+	"sync"
+	"time"
+
+	"clovertrail.dev/platform/standin"
+)
+
+// span is a period during which a fault or a planned stop was in effect.
+type span struct {
+	name    string
+	affects faultScope
+	// box is the name of the box that was drawn for the action; empty if none was drawn.
+	box      string
+	from, to time.Time
+}
+
+// exchange is a request by a caller, and its result.
+type exchange struct {
+	request standin.Request
+	// organisation is the owner of the API key in the request.
+	organisation string
+	atMostOnce   bool
+	// routeVersion is the version of the configuration that added the route; 0 if every version has it.
+	routeVersion int
+	box          string
+	// boxStart is the start count of the box when the request was sent; unknownStart if the box was
+	// restarted before the response ended.
+	boxStart        int
+	sentAt, endedAt time.Time
+	reply           standin.Reply
+}
+
+// Violation is an observed violation of a guarantee.
+type Violation struct {
+	Guarantee string
+	Details   string
+}
+
+// recorder records requests, faults and the state of the environment, for the checks after the run.
+// All its add and mark methods may be called from any goroutine.
+type recorder struct {
+	mu sync.Mutex
+	// runs are the executions of requests by targets, by request id.
+	runs      map[string][]standin.Run
+	exchanges []exchange
+	// faults are all injected faults; planned work, such as stops, is not included.
+	faults []span
+	// stops are the planned stops, by box.
+	stops map[string][]span
+	// drainingSince has the times at which the store accepted the draining state, by target.
+	drainingSince map[string]time.Time
+	// configStoredAt has the times at which the store accepted a configuration, by version.
+	configStoredAt map[int]time.Time
+	// rejected are the requests that were rejected by targets which have requested rest.
+	rejected []standin.Rejection
+	// leavingReportedAt has the times from which targets reported in their responses that they are
+	// leaving, by target.
+	leavingReportedAt map[string]time.Time
+	limitPeriods      []limitPeriod
+	// limitSummaries describe the requests sent in each limit period.
+	limitSummaries []string
+}
+
+func newRecorder() *recorder {
+	return &recorder{
+		runs: map[string][]standin.Run{}, stops: map[string][]span{}, drainingSince: map[string]time.Time{}, configStoredAt: map[int]time.Time{},
+		leavingReportedAt: map[string]time.Time{},
+	}
+}
+
+func (rec *recorder) addRun(r standin.Run) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.runs[r.ID] = append(rec.runs[r.ID], r)
+}
+
+func (rec *recorder) addExchange(ex exchange) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.exchanges = append(rec.exchanges, ex)
+}
+
+func (rec *recorder) addFault(a action, box string, from, to time.Time) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.faults = append(rec.faults, span{a.name, a.affects, box, from, to})
+}
+
+func (rec *recorder) addStop(box string, from, to time.Time) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.stops[box] = append(rec.stops[box], span{"stop", scopeNone, box, from, to})
+}
+
+func (rec *recorder) markDraining(target string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.drainingSince[target] = time.Now()
+}
+
+func (rec *recorder) markConfigStored(version int) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.configStoredAt[version] = time.Now()
+}
+
+// contactBound is the time without faults after which guarantees with a time bound hold.
+const contactBound = 3 * time.Second
+
+// timingSlack is added to all time bounds, because the run itself loads the machine.
+const timingSlack = 1500 * time.Millisecond
+
+// faultFree returns true if no fault of the given scopes affected the box from contactBound before
+// the first time until the second.
+func (rec *recorder) faultFree(box string, from, to time.Time, scopes ...faultScope) bool {
+	for _, s := range rec.faults {
+		relevant := s.box == box || s.affects == scopeStore || s.affects == scopeTarget
+		if relevant && slices.Contains(scopes, s.affects) && s.from.Before(to) && s.to.After(from.Add(-contactBound)) {
+			return false
+		}
+	}
+	return true
+}
+
+// violations checks all guarantees against the records.
+func (rec *recorder) violations() []Violation {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	var list []Violation
+	violate := func(guarantee, format string, args ...any) {
+		list = append(list, Violation{guarantee, fmt.Sprintf(format, args...)})
+	}
+	for _, ex := range rec.exchanges {
+		rec.checkReply(ex, violate)
+		rec.checkDraining(ex, violate)
+	}
+	rec.checkConfigurations(violate)
+	rec.checkFatalRequests(violate)
+	rec.checkRest(violate)
+	rec.checkLeavingReported(violate)
+	rec.checkLimits(violate)
+	return list
+}
+
+// violationFunc records a violation of the named guarantee.
+type violationFunc func(guarantee, format string, args ...any)
+
+func (rec *recorder) checkReply(ex exchange, violate violationFunc) {
+	runs := rec.runs[ex.request.ID]
+	switch {
+	case ex.reply.Mismatch != "":
+		violate("own answer", "%s by %s: %s", ex.request.ID, ex.box, ex.reply.Mismatch)
+	case ex.reply.NotRun() && len(runs) > 0:
+		violate("not run", "%s by %s: answered %d, ran at %s", ex.request.ID, ex.box, ex.reply.Status, runs[0].Target)
+	}
+	checkRetryAfter(ex, violate)
+	if ex.atMostOnce && len(runs) > 1 {
+		violate("at most once", "%s by %s: ran at %s and %s", ex.request.ID, ex.box, runs[0].Target, runs[1].Target)
+	}
+	for _, r := range runs {
+		if r.KeyForwarded || r.Organisation != ex.organisation {
+			violate("keys", "%s by %s: the target saw the organisation %q, key shown: %v", ex.request.ID, ex.box, r.Organisation, r.KeyForwarded)
+		}
+	}
+	if ex.reply.Err == nil || ex.reply.ConnectionRefused() || ex.reply.TimedOut() {
+		return
+	}
+	for _, s := range rec.stops[ex.box] {
+		if ex.sentAt.Before(s.to) && ex.endedAt.After(s.from) && rec.faultFree(ex.box, ex.sentAt, ex.endedAt, scopeBox, scopeTarget) {
+			violate("planned stop", "%s by %s: %v, %v after the signal", ex.request.ID, ex.box, ex.reply.Err, ex.endedAt.Sub(s.from))
+		}
+	}
+}
+
+// checkRetryAfter reports a response that rejects a request for lack of capacity without stating when
+// to retry.
+func checkRetryAfter(ex exchange, violate violationFunc) {
+	full := ex.reply.Status == http.StatusServiceUnavailable || ex.reply.Status == http.StatusTooManyRequests
+	if full && ex.reply.RetryAfter <= 0 {
+		violate("come back", "%s by %s: answered %d without saying when to come again", ex.request.ID, ex.box, ex.reply.Status)
+	}
+}
+
+// checkDraining reports requests that reached a target more than drainBound after its entry in the
+// store changed to draining.
+func (rec *recorder) checkDraining(ex exchange, violate violationFunc) {
+	for _, r := range rec.runs[ex.request.ID] {
+		at, draining := rec.drainingSince[r.Target]
+		bound := at.Add(drainBound + timingSlack)
+		if draining && r.At.After(bound) && rec.faultFree(ex.box, at, r.At, scopeBox, scopeBoxStore, scopeStore) {
+			violate("draining", "%s by %s ran at %s %v after that was leaving", ex.request.ID, ex.box, r.Target, r.At.Sub(at))
+		}
+	}
+}
+
+// checkConfigurations reports boxes that went back to an older configuration, or applied one too
+// late.
+func (rec *recorder) checkConfigurations(violate violationFunc) {
+	list := append([]exchange(nil), rec.exchanges...)
+	sort.Slice(list, func(i, j int) bool { return list[i].sentAt.Before(list[j].sentAt) })
+	type process struct {
+		box string
+		n   int
+	}
+	newest := map[process]exchange{} // the exchange with the newest route that the process has served
+	for _, ex := range list {
+		if ex.boxStart == unknownStart {
+			continue
+		}
+		key := process{ex.box, ex.boxStart}
+		switch {
+		case ex.reply.Status == 200 && ex.routeVersion >= newest[key].routeVersion:
+			if before, ok := newest[key]; !ok || ex.routeVersion > before.routeVersion {
+				newest[key] = ex
+			}
+		case ex.reply.Status == 404:
+			if k := newest[key]; k.routeVersion >= ex.routeVersion && k.endedAt.Before(ex.sentAt) {
+				violate("configuration", "%s went back before version %d after showing %d", ex.box, ex.routeVersion, k.routeVersion)
+			}
+			if at := rec.configStoredAt[ex.routeVersion]; ex.sentAt.After(at.Add(configApplyBound+timingSlack)) && rec.faultFree(ex.box, at, ex.endedAt, scopeBox, scopeBoxStore, scopeStore) {
+				violate("configuration", "%s did not know version %d %v after it was taken", ex.box, ex.routeVersion, ex.sentAt.Sub(at))
+			}
+		}
+	}
+}
