--- a/core/fault/kind.go
+++ b/core/fault/kind.go
@@ -9,7 +9,7 @@
 // # Usage
 //
 //	err := fault.New(fault.NoTarget, "service %s has no target", name).RetryAt(when)
-//	if fault.KindOf(err).Answer().Ran() == fault.RanNo {
+//	if fault.KindOf(err).Response().Ran() == fault.RanNo {
 //		// the caller may be informed that the request did not run
 //	}
 package fault
--- a/node/adverts.go
+++ b/node/adverts.go
@@ -104,7 +104,7 @@
 	return progress
 }
 
-// meet implements mesh.Meet.
+// meet implements mesh.ExchangeAdverts.
 func (p *peering) meet(_ context.Context, a *mesh.Advert) (*mesh.Advert, error) {
 	p.mu.Lock()
 	remembered := p.boxes.LatestIncarnation(a.Self.Box) // before the advert is received
--- a/node/distribution/doc.go
+++ b/node/distribution/doc.go
@@ -13,7 +13,7 @@
 // # Usage
 //
 //	sent := distribution.NewSentMaps()                // at the coordinator
-//	call = sent.Shorten(rank, mesh.CallOf(order))
+//	call = sent.Shorten(rank, mesh.NewOrderCall(order))
 //	sent.RecordReply(rank, prepare, err)              // with the response of the rank's agent
 //
 //	received := distribution.NewReceivedMaps()        // at every agent
--- a/node/hall_poller.go
+++ b/node/hall_poller.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// report implements mesh.Survey.
+// report implements mesh.QueryHall.
 func (p *hallPoller) report(_ context.Context, q *mesh.HallQuery) (*mesh.HallReport, error) {
 	r := p.statuses.Latest(clock.Now(), q.All)
 	p.mu.Lock()
