--- a/node/rank/orders.go
+++ b/node/rank/orders.go
@@ -18,7 +18,7 @@
 	startedAt := clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
-	res, err := e.Order(ctx, call.Epoch, call.Fence, call.Order)
+	res, err := e.SendOrder(ctx, call.Epoch, call.Fence, call.Order)
 	c.Metrics.Observe(telemetry.OrderTime, orders.Name(call.Order)+" "+res.String(), clock.Since(startedAt))
 	return res, err
 }
--- a/node/record_follower.go
+++ b/node/record_follower.go
@@ -174,7 +174,7 @@
 // followConfiguration returns the follower of the operator's configuration.
 func (e *Entry) followConfiguration(feed store.Feed) *recordFollower {
 	apply := func(r store.Record) {
-		if r.Name == platform.Configuration {
+		if r.Name == platform.ConfigurationName {
 			e.view.applyConfiguration(r.Spec, r.At, "store")
 		}
 	}
--- a/soak/box.go
+++ b/soak/box.go
@@ -13,134 +13,139 @@
 	"time"
 )
 
-// box is an entry process, started again whenever it ends.
+// box is an entry process that is restarted whenever it exits.
 type box struct {
-	name    string
-	program string
-	file    string
-	callers string
-	store   *link // between it and the store
-	log     io.Writer
+	name          string
+	program       string
+	settingsFile  string
+	callerAddress string
+	// storeProxy is the proxy through which the box connects to the store.
+	storeProxy *proxy
+	log        io.Writer
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
-	life   int // starts so far
-	wanted bool
-	ended  chan struct{} // of the present life
+	starts int
+	// restart is true if the process is to be started again after an exit.
+	restart bool
+	// exited is closed when the current process has exited.
+	exited chan struct{}
 }
 
-// graceful is how long a stopped process may take to end, as the platform allows.
-const graceful = 8 * time.Second
+// stopBound is the time that the platform gives a process to exit after SIGTERM.
+const stopBound = 8 * time.Second
 
-// drainBound is the bound on work for a target that leaves, as its settings say.
+// drainBound is the time, from the settings of the box, after which a leaving target must not receive
+// new requests.
 const drainBound = 2 * time.Second
 
-// applyBound is the bound on a configuration's coming into force.
-const applyBound = 2 * time.Second
+// configApplyBound is the time within which a new configuration must come into force.
+const configApplyBound = 2 * time.Second
 
-// newBox writes the settings of a box. seeds are meeting addresses of others.
-func newBox(dir, program, name, hall string, ports []string, seeds []string, store *link) (*box, error) {
-	b := &box{name: name, program: program, callers: ports[0], store: store, file: filepath.Join(dir, name+".json")}
+// newBox writes the settings file of a box and creates its log. The seeds are the addresses on which
+// other boxes accept the adverts of new ones.
+func newBox(dir, program, name, hall string, addresses []string, seeds []string, storeProxy *proxy) (*box, error) {
+	b := &box{name: name, program: program, callerAddress: addresses[0], storeProxy: storeProxy, settingsFile: filepath.Join(dir, name+".json")}
 	log, err := os.Create(filepath.Join(dir, name+".log"))
 	if err != nil {
 		return nil, err
 	}
 	b.log = log
 	raw, err := json.Marshal(map[string]any{
-		"box": name, "hall": hall, "callers": ports[0], "ready": ports[1], "peers": ports[2], "meeting": ports[3],
-		"seeds": seeds, "store": store.address(),
+		"box": name, "hall": hall, "callers": addresses[0], "ready": addresses[1], "peers": addresses[2], "meeting": addresses[3],
+		"seeds": seeds, "store": storeProxy.address(),
 		"bounds": map[string]any{
-			"drain": drainBound.String(), "stop": graceful.String(), "config_apply": applyBound.String(),
+			"drain": drainBound.String(), "stop": stopBound.String(), "config_apply": configApplyBound.String(),
 			"contact": "3s", "retry_share": 0.2, "retry_slack": 40, "retry_window": "10s",
 		},
 	})
 	if err != nil {
 		return nil, err
 	}
-	return b, os.WriteFile(b.file, raw, 0o600)
+	return b, os.WriteFile(b.settingsFile, raw, 0o600)
 }
 
-// freePorts finds addresses that nobody listens at. They are of a loopback address of
-// the run's own, so that no other run takes them in the meantime.
-func freePorts(seed uint64, n int) ([]string, error) {
+// freeAddresses returns n addresses without a listener. They are on a loopback address of the run's
+// own, derived from its seed, so that no other run takes them before the boxes listen on them.
+func freeAddresses(seed uint64, n int) ([]string, error) {
 	const octet = 250
-	own := fmt.Sprintf("127.%d.%d.1:0", 1+seed/octet%octet, 1+seed%octet)
+	loopback := fmt.Sprintf("127.%d.%d.1:0", 1+seed/octet%octet, 1+seed%octet)
 	list := make([]string, 0, n)
 	for range n {
-		l, err := net.Listen("tcp", own)
+		l, err := net.Listen("tcp", loopback)
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = l.Close() }() // only its port was wanted
+		defer func() { _ = l.Close() }() // the listener only reserves a free port
 		list = append(list, l.Addr().String())
 	}
 	return list, nil
 }
 
-// start begins a life of the process.
+// start starts the process, and has it restarted whenever it exits.
 func (b *box) start() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.wanted = true
-	return b.begin()
+	b.restart = true
+	return b.startLocked()
 }
 
-// begin starts the process; mu is held.
-func (b *box) begin() error {
+// startLocked starts the process. The caller holds mu.
+func (b *box) startLocked() error {
 	cmd := exec.Command(b.program, "entry")
-	cmd.Env = append(os.Environ(), "CLOVERTRAIL_BOOT="+b.file)
+	cmd.Env = append(os.Environ(), "CLOVERTRAIL_BOOT="+b.settingsFile)
 	cmd.Stdout, cmd.Stderr = b.log, b.log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	b.cmd, b.ended = cmd, make(chan struct{})
-	b.life++
-	go b.await(cmd, b.ended)
+	b.cmd, b.exited = cmd, make(chan struct{})
+	b.starts++
+	go b.restartOnExit(cmd, b.exited)
 	return nil
 }
 
-// restartAfter is how long a process that ended stays away.
-const restartAfter = 300 * time.Millisecond
+// restartDelay is the time from the exit of a process to its restart.
+const restartDelay = 300 * time.Millisecond
 
-// await starts the process again after its end.
-func (b *box) await(cmd *exec.Cmd, ended chan struct{}) {
-	_ = cmd.Wait() // how it ended is in its log
-	close(ended)
-	time.Sleep(restartAfter)
+// restartOnExit waits for the process to exit, and restarts it unless the box was killed.
+func (b *box) restartOnExit(cmd *exec.Cmd, exited chan struct{}) {
+	_ = cmd.Wait() // the log of the box shows why it exited
+	close(exited)
+	time.Sleep(restartDelay)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.wanted && b.cmd == cmd {
-		if err := b.begin(); err != nil {
-			_, _ = fmt.Fprintln(b.log, "not started:", err) // the run shows that it is away
+	if b.restart && b.cmd == cmd {
+		if err := b.startLocked(); err != nil {
+			_, _ = fmt.Fprintln(b.log, "not started:", err) // requests to the box then fail, which the report of the run shows
 		}
 	}
 }
 
-// signal sends a signal to the present life.
+// signal sends a signal to the current process.
 func (b *box) signal(s syscall.Signal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.cmd != nil {
-		_ = b.cmd.Process.Signal(s) // it may have ended a moment ago
+		_ = b.cmd.Process.Signal(s) // fails if the process has just exited
 	}
 }
 
-// lives is the number of the present life.
-func (b *box) lives() int {
+// startCount returns how often the process has been started; it identifies the current process.
+func (b *box) startCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.life
+	return b.starts
 }
 
-// end ends the process for good.
-func (b *box) end() {
+// kill ends the process without a restart, and waits for it to exit.
+func (b *box) kill() {
 	b.mu.Lock()
-	b.wanted = false
-	ended := b.ended
+	b.restart = false
+	exited := b.exited
 	b.mu.Unlock()
 	b.signal(syscall.SIGCONT)
 	b.signal(syscall.SIGKILL)
-	if ended != nil {
-		<-ended
+	if exited != nil {
+		<-exited
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -12,154 +12,164 @@
 )
 
 const (
-	// settle is how long the world has before the first act.
-	settle = 2 * time.Second
-	// calmEnd is how long the world is left alone at the end: a process that was killed
-	// last is back, and the last bounds have passed.
-	calmEnd = 6 * time.Second
-	// judged is the part of the calm end in which all must be served.
-	judged = 2 * time.Second
-	// callerPatience is the time that callers have.
-	callerPatience = 3 * time.Second
-	// callerRest is the pause of a caller between two requests.
-	callerRest = 25 * time.Millisecond
-	// together bounds how many acts are under way at once, most often; some runs are
-	// quieter, so that promises with a bound in time are put to the test as well.
-	together = 4
+	// warmUp is the time from the start of the run to the first action.
+	warmUp = 2 * time.Second
+	// coolDown is the fault-free time at the end of a run: long enough for the process that was killed
+	// last to be back, and for the last bounds to pass.
+	coolDown = 6 * time.Second
+	// recoveryWindow is the last part of coolDown, in which requests must be served.
+	recoveryWindow = 2 * time.Second
+	// callerTimeout is the time-out of callers.
+	callerTimeout = 3 * time.Second
+	// callerPause is the pause of a caller between two requests.
+	callerPause = 25 * time.Millisecond
+	// maxConcurrentActions limits the average number of actions in progress at once. Each run draws a
+	// number up to it: with fewer actions, guarantees with a time bound are checked as well.
+	maxConcurrentActions = 4
 )
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
-	Seed       uint64
-	Asked      int // requests
-	Served     int
-	Acts       []string // what happened, with the second at which it began
-	Limits     []string // what targets that named limits were sent
-	Violations []Violation
+	Seed     uint64
+	Requests int
+	// Served is the number of requests that received their complete response.
+	Served int
+	// Actions lists the actions of the run, with their start in seconds and their length.
+	Actions []string
+	// LimitSummaries describe the requests that targets received while they stated a limit.
+	LimitSummaries []string
+	Violations     []Violation
 }
 
-// LeastFor is the shortest run in which something happens.
-const LeastFor = settle + calmEnd + 2*time.Second
+// MinDuration is the shortest duration of a run that leaves time for actions.
+const MinDuration = warmUp + coolDown + 2*time.Second
 
-// Run makes one run.
+// Run runs the soak once, and returns its report. It returns an error if the environment cannot be
+// started or ctx ends.
 func Run(ctx context.Context, o Options) (Report, error) {
 	o = o.withDefaults()
-	w, err := newWorld(o)
-	if w != nil {
-		defer w.end()
+	e, err := newEnvironment(o)
+	if e != nil {
+		defer e.close()
 	}
 	if err != nil {
 		return Report{}, err
 	}
 	began := time.Now()
-	end := began.Add(o.For)
-	calling, cancel := context.WithDeadline(ctx, end)
+	end := began.Add(o.Duration)
+	runCtx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	var callers, acting sync.WaitGroup
+	var callers, actors sync.WaitGroup
 	for n := range o.Callers {
-		callers.Go(func() { w.call(calling, n) })
+		callers.Go(func() { e.runCaller(runCtx, n) })
 	}
-	if o.Fatal {
-		callers.Go(func() { w.callFatal(calling) })
+	if o.FatalRequests {
+		callers.Go(func() { e.sendFatalRequests(runCtx) })
 	}
-	if o.Limits {
-		acting.Go(func() { w.limiting(calling, end.Add(-calmEnd)) })
+	if o.TargetLimits {
+		actors.Go(func() { e.runTargetLimits(runCtx, end.Add(-coolDown)) })
 	}
 	if o.Restores {
-		acting.Go(func() { w.restoring(calling, end.Add(-calmEnd)) })
+		actors.Go(func() { e.runRestores(runCtx, end.Add(-coolDown)) })
 	}
-	if o.Asks {
-		acting.Go(func() { w.asking(calling, end.Add(-calmEnd)) })
+	if o.TargetRequests {
+		actors.Go(func() { e.runTargetRequests(runCtx, end.Add(-coolDown)) })
 	}
 	rep := Report{Seed: o.Seed}
-	w.act(&rep, began, end.Add(-calmEnd), &acting)
-	acting.Wait()
-	mended := time.Now()
+	e.runActions(&rep, began, end.Add(-coolDown), &actors)
+	actors.Wait()
+	repaired := time.Now()
 	callers.Wait()
-	rep.Violations, rep.Limits = w.ledger.violations(), w.ledger.notes
-	rep.count(w, mended, end)
+	rep.Violations, rep.LimitSummaries = e.recorder.violations(), e.recorder.limitSummaries
+	rep.addTotals(e, repaired, end)
 	return rep, ctx.Err()
 }
 
-// act makes acts until the calm end, several at a time and in series.
-func (w *world) act(rep *Report, began, until time.Time, acting *sync.WaitGroup) {
-	r := rand.New(rand.NewPCG(w.options.Seed, 1))
-	busy := 1 + r.IntN(together)
-	time.Sleep(settle)
+// runActions starts actions, one after another and overlapping, until the given time.
+func (e *environment) runActions(rep *Report, began, until time.Time, actors *sync.WaitGroup) {
+	r := rand.New(rand.NewPCG(e.options.Seed, 1))
+	concurrency := 1 + r.IntN(maxConcurrentActions)
+	time.Sleep(warmUp)
 	for time.Now().Before(until) {
-		a := acts[r.IntN(len(acts))]
+		a := actions[r.IntN(len(actions))]
 		length := time.Duration(200+r.IntN(2300)) * time.Millisecond
-		own := rand.New(rand.NewPCG(r.Uint64(), 2))
-		rep.Acts = append(rep.Acts, fmt.Sprintf("%.1f %s for %v", time.Since(began).Seconds(), a.name, length))
-		acting.Go(func() { w.make(a, own, length) })
-		time.Sleep(time.Duration(r.Int64N(int64(2 * length / time.Duration(busy)))))
+		actionRand := rand.New(rand.NewPCG(r.Uint64(), 2))
+		rep.Actions = append(rep.Actions, fmt.Sprintf("%.1f %s for %v", time.Since(began).Seconds(), a.name, length))
+		actors.Go(func() { e.runAction(a, actionRand, length) })
+		time.Sleep(time.Duration(r.Int64N(int64(2 * length / time.Duration(concurrency)))))
 	}
 }
 
-func (w *world) make(a act, r *rand.Rand, length time.Duration) {
+// runAction runs the action on a box drawn at random, and records its fault.
+func (e *environment) runAction(a action, r *rand.Rand, length time.Duration) {
 	from := time.Now()
-	b := w.boxes[r.IntN(len(w.boxes))]
-	if a.hits != nothing {
-		// It excuses from its beginning, also while its end is not known yet.
-		w.ledger.fault(a, b.name, from, from.Add(length+restartAfter+slack))
+	b := e.boxes[r.IntN(len(e.boxes))]
+	if a.affects != scopeNone {
+		// The fault is recorded at its start, so that it excuses violations before its end is known. The
+		// end is an estimate.
+		e.recorder.addFault(a, b.name, from, from.Add(length+restartDelay+timingSlack))
 	}
-	a.during(w, r, b, func() { time.Sleep(length) })
+	a.run(e, r, b, func() { time.Sleep(length) })
 }
 
-// call makes requests until ctx ends, on connections that are kept.
-func (w *world) call(ctx context.Context, n int) {
-	r := rand.New(rand.NewPCG(w.options.Seed, uint64(100+n)))
+// runCaller sends requests until ctx ends. It reuses connections.
+func (e *environment) runCaller(ctx context.Context, n int) {
+	r := rand.New(rand.NewPCG(e.options.Seed, uint64(100+n)))
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 	for i := 0; ctx.Err() == nil; i++ {
-		w.ask(c, r, fmt.Sprintf("q-%d-%d", n, i))
-		time.Sleep(callerRest)
+		e.sendRequest(c, r, fmt.Sprintf("q-%d-%d", n, i))
+		time.Sleep(callerPause)
 	}
 }
 
-func (w *world) ask(c *http.Client, r *rand.Rand, id string) {
-	b, org := w.boxes[r.IntN(len(w.boxes))], w.organisations[r.IntN(len(w.organisations))]
-	a := asked{box: b.name, life: b.lives(), owner: org.name}
-	a.request = standin.Request{ID: id, Key: org.key, Within: callerPatience}
+// sendRequest sends a request of a kind drawn at random to a box drawn at random, and records the
+// exchange.
+func (e *environment) sendRequest(c *http.Client, r *rand.Rand, id string) {
+	b, org := e.boxes[r.IntN(len(e.boxes))], e.organisations[r.IntN(len(e.organisations))]
+	ex := exchange{box: b.name, boxStart: b.startCount(), organisation: org.name}
+	ex.request = standin.Request{ID: id, Key: org.key, Timeout: callerTimeout}
 	switch r.IntN(4) {
 	case 0:
-		a.request.Path, a.request.Body, a.once = "/once/x", "body of "+id, true
+		ex.request.Path, ex.request.Body, ex.atMostOnce = "/once/x", "body of "+id, true
 	case 1:
-		a.request.Path = "/again/x"
+		ex.request.Path = "/again/x"
 	case 2:
-		a.request.Path, a.request.Body = "/stream/x", "body of "+id
+		ex.request.Path, ex.request.Body = "/stream/x", "body of "+id
 	case 3:
-		a.route = 1 + r.IntN(w.newest())
-		a.request.Path = standin.VersionPath(a.route) + "x"
+		ex.routeVersion = 1 + r.IntN(e.newestVersion())
+		ex.request.Path = standin.VersionPath(ex.routeVersion) + "x"
 	}
-	a.from = time.Now()
-	a.reply = standin.Ask(context.Background(), c, "http://"+b.callers, a.request)
-	a.to = time.Now()
-	if b.lives() != a.life {
-		a.life = unknownLife
+	ex.sentAt = time.Now()
+	ex.reply = standin.Send(context.Background(), c, "http://"+b.callerAddress, ex.request)
+	ex.endedAt = time.Now()
+	if b.startCount() != ex.boxStart {
+		ex.boxStart = unknownStart
 	}
-	w.ledger.add(a)
+	e.recorder.addExchange(ex)
 }
 
-// unknownLife marks a request during which its box started anew.
-const unknownLife = -1
+// unknownStart marks a request during which its box was restarted, or for which the start count was
+// not recorded.
+const unknownStart = -1
 
-// count adds what was served, and whether all was at the end.
-func (rep *Report) count(w *world, mended, end time.Time) {
+// addTotals counts the requests and those served, and adds a violation if fewer than nine in ten
+// were served in recoveryWindow.
+func (rep *Report) addTotals(e *environment, repaired, end time.Time) {
 	var last, lastServed int
-	from := end.Add(-judged)
-	for _, a := range w.ledger.asked {
-		rep.Asked++
-		if a.reply.Right {
+	from := end.Add(-recoveryWindow)
+	for _, ex := range e.recorder.exchanges {
+		rep.Requests++
+		if ex.reply.Correct {
 			rep.Served++
 		}
-		if a.from.After(from) {
+		if ex.sentAt.After(from) {
 			last++
-			if a.reply.Right {
+			if ex.reply.Correct {
 				lastServed++
 			}
 		}
 	}
 	if last == 0 || lastServed*10 < last*9 {
-		rep.Violations = append(rep.Violations, Violation{"recovery", fmt.Sprintf("%d of %d requests were served %v after all was mended", lastServed, last, from.Sub(mended))})
+		rep.Violations = append(rep.Violations, Violation{"recovery", fmt.Sprintf("%d of %d requests were served %v after all was mended", lastServed, last, from.Sub(repaired))})
 	}
 }
