--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -6,7 +6,7 @@
 	"clovertrail.dev/core/domain"
 )
 
-// Version is the operator's number of a configuration. It increases by uneven steps.
+// Version is the operator's number of a configuration. It never decreases, and may skip numbers.
 type Version uint64
 
 // Document is a complete configuration, as decoded by an adapter.
