--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -6,12 +6,12 @@
 // record, for each work (identified by the digest that all attempts of a request share), which
 // targets ended while they ran it, and exchange these records. Work under which enough targets
 // ended is in quarantine: it is refused at once, with the time at which the quarantine ends.
-// After that it may be tried again, and each further target that ends makes the next quarantine
+// After that time the work may be tried again, and each further target that ends makes the next quarantine
 // longer.
 //
-// Other requests that run on a target as it ends are not mistaken for the cause: they share a
-// target with it once or twice, are served when they are sent again, and work that was served
-// anywhere afterwards is cleared.
+// Other requests that run on a target as it ends are not mistaken for the cause: they run on the
+// same target as the crashing work only once or twice, and are served when they are sent again.
+// Once any target has served a work, the targets that ended under it before no longer count.
 //
 // A Register is a state machine without I/O: it takes observations and the time, and returns
 // changes. Observations of this box, of other boxes and of the platform's store are handled alike,
--- a/quarantine/recently_served.go
+++ b/quarantine/recently_served.go
@@ -6,8 +6,8 @@
 	"clovertrail.dev/core/call"
 )
 
-// maxRecentlyServed is the number of served works that are remembered, the latest ones: those of
-// some seconds of a box.
+// maxRecentlyServed is the number of served works that are remembered. It covers the works that a
+// box serves in some seconds.
 const maxRecentlyServed = 256
 
 // recentlyServed is a ring buffer of the works that were served last, with the time of each.
--- a/quarantine/reconciler.go
+++ b/quarantine/reconciler.go
@@ -8,7 +8,7 @@
 )
 
 // reconcileWithin is the time after a restore of the store in which each box compares the stored
-// records with its own. The comparisons are spread over it, so that the first box has written the
+// records with its own. The comparisons are spread over this time, so that the first box has written the
 // lost records again before most of the others compare.
 const reconcileWithin = 5 * time.Second
 
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -16,12 +16,13 @@
 
 type recordFields struct {
 	Digest call.Digest `json:"digest"`
-	// Ended maps each target that ended under the work to the time, in milliseconds of Unix time.
+	// Ended maps each target that ended under the work to the time at which it ended, in
+	// milliseconds of Unix time.
 	Ended map[domain.InstanceID]int64 `json:"ended"`
 }
 
-// NewRecord returns the record of a Register's observations of one work, whose times must be times
-// of day.
+// NewRecord returns the record of a Register's observations of one work. The times of the observations
+// must be wall-clock times.
 func NewRecord(observations []Observation) Record {
 	r := Record{f: recordFields{Ended: map[domain.InstanceID]int64{}}}
 	for _, o := range observations {
@@ -31,11 +32,12 @@
 	return r
 }
 
-// Name is unique to the work and to the number of targets that ended under it.
+// Name returns the name of the stored record, unique to the work and to the number of targets that
+// ended under it.
 func (r Record) Name() string { return fmt.Sprintf("%s-%d", r.f.Digest, len(r.f.Ended)) }
 
-// Observations returns the observations of the record relative to now, where day is the time of
-// day at now. The clocks of boxes may differ by seconds; quarantines last for minutes.
+// Observations returns the observations of the record relative to now, where day is the
+// wall-clock time at now. The clocks of boxes may differ by seconds; quarantines last for minutes.
 func (r Record) Observations(now, day time.Time) []Observation {
 	var list []Observation
 	for id, ms := range r.f.Ended {
@@ -46,7 +48,7 @@
 }
 
 // Expired reports whether the quarantine, and the time for which the work is remembered after it,
-// have passed at the time of day.
+// have passed at the wall-clock time day.
 func (r Record) Expired(day time.Time) bool {
 	var last int64
 	for _, ms := range r.f.Ended {
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -11,24 +11,25 @@
 
 const (
 	// minEnded is the number of targets that must have ended under a work before it is
-	// quarantined. A single one may have ended for another reason; a third would cost one more
-	// group, and a small deployment has two.
+	// quarantined. A single target may have ended for another reason. Waiting for a third would
+	// cost one more group, and a small deployment has only two groups.
 	minEnded = 2
 	// minEndedServed replaces minEnded for work that was served less than servedWindow before: many
-	// callers may send the same request, and some of these may repeatedly run beside one that
-	// crashes targets. The number must stay small, since a new program may fail on old work.
+	// callers may send the same request, and some of these may repeatedly run on the same target as
+	// another request that crashes it. The number must stay small, since a new version of a
+	// target's program may crash on work that the old version served.
 	minEndedServed = 4
 	servedWindow   = time.Minute
-	// firstTerm is the duration of the first quarantine: many times as long as the outage of the
-	// target that an attempt after it may cost.
+	// firstTerm is the duration of the first quarantine: many times as long as the outage of a
+	// target that the next attempt may crash.
 	firstTerm = 2 * time.Minute
 	// termFactor is the ratio of the duration of a quarantine to that of the one before: a caller
 	// that retries after each quarantine then costs three more targets in a day.
 	termFactor = 10
 	// maxTerm is the maximum duration of a quarantine.
 	maxTerm = 48 * time.Hour
-	// retention is how long a work is remembered after the last update or after the end of its
-	// quarantine, so that a caller who retries every few minutes is still recognised.
+	// retention is how long a work is remembered after its last update or the end of its
+	// quarantine, whichever is later, so that a caller who retries every few minutes is still recognised.
 	retention = time.Hour
 	// maxWorks is the maximum number of works that are remembered. One ended target adds as many
 	// as it had slots and queued requests.
@@ -36,16 +37,16 @@
 	// reportFor is how long an update of a work is sent to other boxes: six rounds of adverts,
 	// in each of which every box notifies eight others.
 	reportFor = 3 * time.Second
-	// maxReported is the maximum number of observations in one message, the latest ones:
-	// three kilobytes.
+	// maxReported is the maximum number of observations in one message, which take about three
+	// kilobytes. The latest observations are sent.
 	maxReported = 40
 )
 
 // Observation states that a target ended while it ran a work, or that the work was served.
 type Observation struct {
 	Digest call.Digest
-	// Target is the start of a target that ended while it ran the work; empty if the work was
-	// served.
+	// Target identifies the instance of a target that ended while it ran the work; empty if the
+	// work was served.
 	Target domain.InstanceID
 	At     time.Time
 }
@@ -55,7 +56,8 @@
 
 // The changes.
 const (
-	// Unchanged: the observation was known already, or is out of date.
+	// Unchanged: the observation was known already, is out of date, or states that a work was
+	// served under which no target is known to have ended.
 	Unchanged Change = iota
 	// Updated: the observation is new and is to be sent to other boxes.
 	Updated
@@ -211,8 +213,8 @@
 	return last.Add(term(len(w.ended) - need))
 }
 
-// term returns the duration of a quarantine after that many ended targets beyond those that the
-// first quarantine takes.
+// term returns the duration of a quarantine; further is the number of ended targets in excess of
+// those needed for the first quarantine.
 func term(further int) time.Duration {
 	t := firstTerm
 	for range further {
