--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -65,13 +65,15 @@
 }
 
 // processCheckDelay is the time between the cancellation of an attempt and the check whether its
-// target's process has ended. Most targets drop work as its connection closes; those that do not
-// crash under it within a second, and a target that crashed is away for longer than this delay.
+// target's process has ended. Most targets drop work when its connection closes. A target that
+// keeps running work that crashes it does so within a second, and is then unavailable for longer
+// than this delay.
 const processCheckDelay = 1500 * time.Millisecond
 
-// scheduleProcessCheck checks later whether the target ended under work of a cancelled attempt, as
-// happens where a caller leaves before the crash. Without the check nobody would notice, and a
-// caller that left each time would end one target after the other.
+// scheduleProcessCheck schedules a check whether the target's process ended while it ran the work
+// of a cancelled attempt, as happens if the caller leaves before the crash. Without the check the
+// crash would not be recorded, and a caller that sends the work again and leaves each time would
+// crash one target after the other.
 func (a *attempt) scheduleProcessCheck() {
 	deps, work, t, witness := a.d.g.deps, a.d.req.digest, a.lease.Target(), a.lease.Witness()
 	clock.AfterFunc(clock.Now().Add(processCheckDelay), func() {
@@ -82,8 +84,8 @@
 }
 
 // targetProcessEnded reports whether the target's process ended during the attempt, and not only
-// its connection. When a group loses a rank, the other ranks cut off their work but stay alive;
-// that work must not be blamed.
+// its connection. When a group loses a rank, the processes of the other ranks abort their requests
+// but stay alive; these requests must not be recorded as the cause.
 func (a *attempt) targetProcessEnded(ctx context.Context, end retry.Outcome) bool {
 	switch end.(type) {
 	case retry.Lost, retry.Broken:
@@ -134,7 +136,7 @@
 	return a.handleResponse(ctx, resp)
 }
 
-// connectionReuse returns DialNew for requests that may run only once: on a kept connection that its
+// connectionReuse returns DialNew for requests that may run only once: on an idle connection that the
 // target has already dropped, such a request would be lost and could not be repeated.
 func (a *attempt) connectionReuse() transport.Reuse {
 	if a.d.req.route.MayRepeat() {
@@ -162,7 +164,8 @@
 }
 
 // isOwnResponse distinguishes the response to this request from a late response to an earlier
-// request on the connection. A response without a request ID counts as its own.
+// request on the connection. A response without a request ID counts as
+// the response to this request.
 func (a *attempt) isOwnResponse(r *http.Response) bool {
 	id := a.d.g.deps.Headers.ParseResponse(clock.Now(), r).ID
 	return id == "" || id == a.d.req.ID()
@@ -181,7 +184,7 @@
 	now := clock.Now()
 	a.response = a.d.g.deps.Headers.ParseResponse(now, resp)
 	if a.response.Outcome != call.WrongInstance && a.response.Outcome != call.Unrecognised {
-		a.lease.UpdateStatus(now, a.response) // responses of the two other kinds did not come from the target
+		a.lease.UpdateStatus(now, a.response) // responses with either of these outcomes did not come from the target
 	}
 	if id := a.response.AtFault; id != "" && id != a.lease.Target().ID().ListedID() {
 		a.d.g.deps.Fleet.ReportFault(id)
@@ -227,9 +230,9 @@
 }
 
 // callerRetryAt returns when the caller of a declined request should retry; zero if the target does
-// not state it. A target that asks for rest says nothing about the other targets. If another target
-// accepts requests now, callers retry as soon as they can reach another box, else when the first
-// target accepts requests again.
+// not state it. If the target asked for rest, its retry time does not apply to the other targets of
+// the service. If one of these accepts requests now, the caller should retry as soon as it can reach
+// another box, otherwise when the first target of the service accepts requests again.
 func (a *attempt) callerRetryAt(now time.Time) time.Time {
 	if a.response.RestUntil().IsZero() {
 		return a.response.RetryAt
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -14,13 +14,13 @@
 )
 
 // firstByteTimeoutFactor is the timeout for the first byte of a response, as a multiple of the
-// route's latency objective; after it the request is sent to another target. Responses in time begin
-// within the objective, and few of those later than this multiple begin at all
+// route's latency objective; after it the request is sent to another target. Normal responses
+// begin within the objective, and few that have not begun by this timeout begin at all
 // (docs/design/platform.md).
 const firstByteTimeoutFactor = 3
 
 // overdueFactor is the time, as a multiple of the route's latency objective, after which a response
-// that has not begun is reported to other boxes, which may see the same of its target.
+// that has not begun is reported to other boxes, which may observe late responses of the same target.
 const overdueFactor = 1.5
 
 // delivery runs one request through its attempts.
@@ -34,7 +34,7 @@
 
 	headSent     bool   // the response head was sent to the caller
 	status       int    // status sent to the caller
-	after        string // ID of the last event sent to the caller
+	after        string // ID of the last event sent to the caller; at first the one that the request names
 	events       int
 	firstByteAt  time.Time         // when the response head was sent to the caller
 	lastEventsAt time.Time         // when the last events were sent to the caller
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -66,16 +66,16 @@
 	// IsStraggler reports whether streams are to be moved from this target to others, because it
 	// lengthens the steps of its whole group too much.
 	IsStraggler(now time.Time, tried []domain.InstanceID) bool
-	// Release ends the use of the target, with the verdict of the attempt on it.
+	// Release ends the use of the target, and records the attempt's verdict on the target.
 	Release(v Verdict)
 }
 
-// Verdict is what an attempt shows about its target.
+// Verdict classifies the result of an attempt as evidence about the health of its target.
 type Verdict int
 
 // The verdicts.
 const (
-	// Neutral shows nothing: the caller left, or the request itself was at fault.
+	// Neutral: the attempt says nothing about the target, for example because the caller left.
 	Neutral Verdict = iota
 	// Good: the target served the request.
 	Good
--- a/gateway/intake.go
+++ b/gateway/intake.go
@@ -13,13 +13,13 @@
 	"clovertrail.dev/core/fault"
 )
 
-// inboundRequest is a caller's request with its route, service and organisation. Fields after
-// the first check that failed are zero.
+// inboundRequest is a caller's request with its route, service and organisation. If
+// a check of the request fails, the fields that later steps would set stay zero.
 type inboundRequest struct {
 	call.Request
 	http     *http.Request
 	arrived  time.Time
-	deadline time.Time // by which the whole response has to be sent
+	deadline time.Time // time by which the whole response has to be sent
 	version  catalog.Version
 	route    catalog.Route
 	service  domain.ServiceName
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -15,9 +15,9 @@
 	// firstRequestTimeout limits how long a stopping Listener waits for the first request on an
 	// accepted connection: a few round trips to a caller, with lost packets resent once.
 	firstRequestTimeout = time.Second
-	// finalReadTimeout limits the last read on an idle connection before it is closed. A process
-	// that was not scheduled for a while finds the stop and the requests that arrived meanwhile
-	// at once; what has arrived is read without waiting.
+	// finalReadTimeout limits the last read on an idle connection before it is closed. If the
+	// process was not scheduled for a while, requests may have arrived before it handles the stop;
+	// the last read returns these without waiting.
 	finalReadTimeout = 50 * time.Millisecond
 )
 
@@ -26,7 +26,8 @@
 // http.Server's own Shutdown drops a request that was read on a connection accepted just
 // before, and closes idle connections whatever has arrived on them. The planned stop of a
 // Listener accepts no more connections and then serves the requests that still arrive on
-// those that are open. From then on its handler must close each connection with the response.
+// those that are open. During the stop the server's handler must close each
+// connection with the response.
 //
 //	l := gateway.NewListener(&http.Server{Handler: g})
 //	go l.Serve(listener)
@@ -194,7 +195,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// awaitsRequest reports whether the connection has no request that was read and not answered.
+// awaitsRequest reports whether the connection waits for a request, or for the rest of one: every
+// request that was read completely has been answered.
 func (l *Listener) awaitsRequest(c *trackedConn) bool {
 	s := l.state(c)
 	return s == http.StateIdle || s == http.StateNew
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -9,9 +9,9 @@
 	"clovertrail.dev/retry"
 )
 
-// maxBufferedBytes limits how much of a response is read before any of it is sent to the caller. A
-// response that breaks off within it can be requested again; it fits all but the largest
-// responses of plain services.
+// maxBufferedBytes limits how much of a response is read before any of it is sent to the caller. If
+// a response breaks off before this limit, the request can be sent again. All but the largest
+// responses of plain services are within the limit.
 const maxBufferedBytes = 64 << 10
 
 // bufferedResponse is a response with its whole body, or with the beginning of its body.
@@ -93,7 +93,7 @@
 }
 
 // responseBroken returns the end and the verdict of an attempt whose response broke off. The
-// argument sent states whether the caller has received any of it.
+// argument sent states whether the caller has received any part of the response.
 func (a *attempt) responseBroken(ctx context.Context, err error, sent bool) (retry.Outcome, Verdict) {
 	if ctx.Err() != nil && !sent {
 		return retry.Expired{}, Neutral
--- a/gateway/response_times.go
+++ b/gateway/response_times.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// responseTimeRetention limits how long the longest response time of a route is remembered. It is
-// longer than streams last, and short enough that a slow period is forgotten once it is over.
+// responseTimeRetention is the age after which the longest response time of a route is replaced by
+// that of the next response, even a shorter one. It is longer than streams last, and short enough
+// that a slow period is forgotten once it is over.
 const responseTimeRetention = 10 * time.Second
 
 // responseTimes records the longest recent response time of each route. A stopping box accepts
