--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestHolderNeverReverts offers documents out of order, with repetitions and documents that cannot
-// be decoded.
+// TestHolderNeverReverts guards against an older document that replaces a newer one. It offers
+// documents out of order, some repeatedly, and documents that cannot be decoded.
 func TestHolderNeverReverts(t *testing.T) {
 	decode := func(raw []byte) (*catalog.Catalog, error) {
 		var v catalog.Version
