--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -6,8 +6,8 @@
 // record, for each work (identified by the digest that all attempts of a request share), which
 // targets ended while they ran it, and exchange these records. Work under which enough targets
 // ended is in quarantine: it is refused at once, with the time at which the quarantine ends.
-// After that time the work may be tried again, and each further target that ends makes the next quarantine
-// longer.
+// After that time the work may be tried again, and each further target that ends makes the next
+// quarantine longer.
 //
 // Other requests that run on a target as it ends are not mistaken for the cause: they run on the
 // same target as the crashing work only once or twice, and are served when they are sent again.
--- a/quarantine/reconciler.go
+++ b/quarantine/reconciler.go
@@ -8,8 +8,8 @@
 )
 
 // reconcileWithin is the time after a restore of the store in which each box compares the stored
-// records with its own. The comparisons are spread over this time, so that the first box has written the
-// lost records again before most of the others compare.
+// records with its own. The comparisons are spread over this time, so that the first box has
+// written the lost records again before most of the others compare.
 const reconcileWithin = 5 * time.Second
 
 // Reconciler schedules the comparison of the stored records with those that the box has, after the
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -29,7 +29,8 @@
 	// maxTerm is the maximum duration of a quarantine.
 	maxTerm = 48 * time.Hour
 	// retention is how long a work is remembered after its last update or the end of its
-	// quarantine, whichever is later, so that a caller who retries every few minutes is still recognised.
+	// quarantine, whichever is later, so that a caller who retries every few minutes is still
+	// recognised.
 	retention = time.Hour
 	// maxWorks is the maximum number of works that are remembered. One ended target adds as many
 	// as it had slots and queued requests.
