--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -164,8 +164,7 @@
 }
 
 // isOwnResponse distinguishes the response to this request from a late response to an earlier
-// request on the connection. A response without a request ID counts as
-// the response to this request.
+// request on the connection. A response without a request ID counts as the response to this request.
 func (a *attempt) isOwnResponse(r *http.Response) bool {
 	id := a.d.g.deps.Headers.ParseResponse(clock.Now(), r).ID
 	return id == "" || id == a.d.req.ID()
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -9,8 +9,8 @@
 
 // TestEndedProcessIsReportedToQuarantine guards against blaming work for a broken connection, which
 // does not prove that the target's process ended. Work is reported only if its target refuses
-// connections afterwards. Work that a live target cuts off is not, as ranks do whose group lost
-// another rank.
+// connections afterwards. Work whose response a live target cuts off is not reported: ranks do so
+// when their group loses another rank.
 func TestEndedProcessIsReportedToQuarantine(t *testing.T) {
 	one := rawChunk(marked("id: 1\ndata: x\n\n"))
 	for _, tc := range []struct {
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -8,8 +8,9 @@
 // of the headers on the wire. A Listener accepts callers' connections and drains them
 // at a planned stop.
 //
-// When no further attempt of a request is made, the caller is answered at once. A response that has begun and
-// cannot be completed is aborted: it never ends as if it were complete.
+// When no further attempt of a request is made, the caller is answered at once. A
+// response that has begun and cannot be completed is aborted: it never ends as if it
+// were complete.
 //
 // # Usage
 //
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -65,7 +65,7 @@
 }
 
 // target is a fake target that answers each request with the next response of its script, and then
-// closes the connection if that response does not end as a complete one does.
+// closes the connection if that response has neither a Content-Length header nor a final chunk.
 type target struct {
 	name string
 	l    net.Listener
@@ -230,7 +230,7 @@
 
 func (l *lease) ResponseStarted() { signal(l.f.began) }
 
-// signal sends a value if the channel has room; else no test waits for it.
+// signal sends a value if the channel has room. Otherwise it does nothing, as no test is waiting.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/gateway/intake.go
+++ b/gateway/intake.go
@@ -13,8 +13,8 @@
 	"clovertrail.dev/core/fault"
 )
 
-// inboundRequest is a caller's request with its route, service and organisation. If
-// a check of the request fails, the fields that later steps would set stay zero.
+// inboundRequest is a caller's request with its route, service and organisation. If a check of the
+// request fails, the fields that later steps would set stay zero.
 type inboundRequest struct {
 	call.Request
 	http     *http.Request
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -26,8 +26,8 @@
 // http.Server's own Shutdown drops a request that was read on a connection accepted just
 // before, and closes idle connections whatever has arrived on them. The planned stop of a
 // Listener accepts no more connections and then serves the requests that still arrive on
-// those that are open. During the stop the server's handler must close each
-// connection with the response.
+// those that are open. During the stop the server's handler must close each connection with the
+// response.
 //
 //	l := gateway.NewListener(&http.Server{Handler: g})
 //	go l.Serve(listener)
--- a/gateway/status_test.go
+++ b/gateway/status_test.go
@@ -65,8 +65,9 @@
 	}
 }
 
-// TestRetryAfterFollowsTargetAvailability checks that callers are asked to retry when a target
-// accepts requests, and not when the targets that declined them do.
+// TestRetryAfterFollowsTargetAvailability checks that callers are asked to retry when the first
+// target of the service accepts requests, and not when the targets that declined the request do so
+// again.
 func TestRetryAfterFollowsTargetAvailability(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestDeadlineHoldsThroughSuspension guards against deadlines that are delayed by a suspension of
-// the box's machine. The caller's time continues meanwhile, so a request in flight has to time out
-// when the machine resumes.
+// the box's machine. The caller's clock keeps running during the suspension, so a request in flight
+// has to time out when the machine resumes.
 func TestDeadlineHoldsThroughSuspension(t *testing.T) {
 	const callerTimeout = 15 * time.Second // below the route's 20 s on the monotonic clock
 	a := newTarget(t, "a", hang)
