--- a/node/adverts.go
+++ b/node/adverts.go
@@ -13,11 +13,11 @@
 	"clovertrail.dev/store"
 )
 
-// This file has the contents of adverts, and how a box processes the adverts of others.
+// This file builds the adverts of this box and processes those of other boxes.
 
-// advert returns an advert of this box. With changesOnly it names no other boxes, and limits only if
-// they changed recently. With all it has all observations of works that ended targets, for a box that may
-// have missed some.
+// advert returns an advert of this box. If changesOnly is set, the advert lists no other boxes, and
+// only limits that changed recently. If all is set, the advert contains all observations of works that
+// ended targets, for boxes that may have missed some.
 func (p *peering) advert(changesOnly, all bool) *mesh.Advert {
 	now := clock.Now()
 	others := otherLimitsPerRound
@@ -107,7 +107,7 @@
 // meet implements mesh.ExchangeAdverts.
 func (p *peering) meet(_ context.Context, a *mesh.Advert) (*mesh.Advert, error) {
 	p.mu.Lock()
-	remembered := p.boxes.LatestIncarnation(a.Self.Box) // before the advert is received
+	remembered := p.boxes.LatestIncarnation(a.Self.Box) // read before receive records the incarnation in the advert
 	p.mu.Unlock()
 	p.receive(a)
 	reply := p.advert(a.UpdateOnly, false)
--- a/node/agent_poller.go
+++ b/node/agent_poller.go
@@ -19,28 +19,30 @@
 )
 
 const (
-	// agentPollInterval is the time between two requests of this box to an agent: a few steps of
-	// the engine, and less than a request takes, so that reported loads are still valid when used.
+	// agentPollInterval is the time between two queries of this box to one agent: a few steps of
+	// the engine, and shorter than a caller's request takes, so that a reported load is still
+	// valid when it is used.
 	agentPollInterval = 200 * time.Millisecond
 	// fullRatePollers is how many boxes may query an agent at that interval. If there are more,
 	// each queries it less often, so that the total rate at the agent stays the same.
 	fullRatePollers = 12
 	// agentPollTimeout bounds a request to an agent.
 	agentPollTimeout = 400 * time.Millisecond
-	// otherGroupAgents is how many agents of other groups an agent is sent: enough that one of
-	// them answers. They are those of the highest ranks, because the lowest ranks coordinate.
+	// otherGroupAgents is the number of agents of other groups whose addresses an agent receives as
+	// forwarders: enough that one of them answers. The agents of the highest ranks are chosen,
+	// because the lowest ranks coordinate.
 	otherGroupAgents = 4
 	// maxAgentPollPause bounds the pause after requests that failed.
 	maxAgentPollPause = time.Second
 )
 
 // agentPoller queries the agents of model engines for the status of their engines, and sends them
-// the members of their groups. It stores the statuses for the entry boxes of other data halls,
-// which in turn report the targets of theirs (hallPoller).
+// the members of their groups. It stores the statuses in hallPoller, which exchanges them with the
+// entry boxes of other data halls.
 type agentPoller struct {
 	entry  *Entry
 	mesh   *mesh.Client
-	agents map[domain.InstanceID]context.CancelFunc // of the agents with a running poll loop
+	agents map[domain.InstanceID]context.CancelFunc // cancels the poll loop of an agent; has the agents with a running loop
 	halls  *hallPoller
 }
 
@@ -118,8 +120,8 @@
 	}
 }
 
-// pollInterval returns the time between two requests of one box to a receiver that so many boxes
-// query.
+// pollInterval returns the time between two requests of one box to a process that the given number
+// of boxes query.
 func pollInterval(boxes int) time.Duration {
 	return agentPollInterval * time.Duration(max(boxes, fullRatePollers)) / fullRatePollers
 }
@@ -130,8 +132,8 @@
 	return t.Hall()
 }
 
-// query queries the target's agent, and sends it the members of its group if the response shows
-// that they are due.
+// query queries the target's agent, and then sends it the members of its group if such an update is
+// due.
 func (p *agentPoller) query(ctx context.Context, id domain.InstanceID, u *distribution.GroupUpdate) error {
 	address, epoch, ok := p.agent(id)
 	if !ok {
@@ -198,8 +200,8 @@
 	return p.agentAddress(target), orders.Epoch(own.Epoch), true
 }
 
-// maxHallForwarders is how many other entry boxes of this hall an agent is sent as forwarders: a few
-// of them together send the orders for a group of a hundred ranks.
+// maxHallForwarders is the number of other entry boxes of this hall whose addresses an agent receives
+// as forwarders: a few forwarders together send the orders for a group of a hundred ranks.
 const maxHallForwarders = 8
 
 // forwarders returns the addresses of this box and of some others of its hall.
--- a/node/choosing.go
+++ b/node/choosing.go
@@ -101,8 +101,8 @@
 	return earliest
 }
 
-// permitCandidates returns the chosen option and the options that would be chosen after it, up to the
-// first that needs no requested permit. mu is held.
+// permitCandidates returns the chosen option and the options that would be chosen after it, up to but
+// without the first that is sendable. mu is held.
 func (f *fleet) permitCandidates(now time.Time, chosen routing.Option, candidates []routing.Option) []domain.InstanceID {
 	list := []domain.InstanceID{chosen.ID}
 	for len(list) < maxPermitTargets {
--- a/node/entry.go
+++ b/node/entry.go
@@ -42,7 +42,7 @@
 	timeline   *timeline
 	limiting   *limiting
 
-	loggedStandings map[domain.InstanceID]membership.Standing // as last logged; used by the goroutine of judge only
+	loggedStandings map[domain.InstanceID]membership.Standing // standings as last logged; used only by the goroutine of checkReadiness
 }
 
 // NewEntry returns the process of an entry box. settings returns the current settings; ApplySettings applies
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -36,8 +36,8 @@
 	requestPermit  permitFunc
 }
 
-// permitFunc requests permits for the first of the service's targets that has any, and returns that
-// target; empty if none has any.
+// permitFunc requests permits for the first of the given targets that has permits left, and returns
+// that target; empty if none has permits left.
 type permitFunc func(ctx context.Context, svc domain.ServiceName, targets []domain.InstanceID) domain.InstanceID
 
 func newFleet(self domain.BoxID, hall domain.HallName, p membership.RosterPolicy) *fleet {
@@ -198,16 +198,17 @@
 	return f.limits.HasLimits()
 }
 
-// limitReportsForPeers returns the limit reports to send to other boxes: all recent changes, and up to
-// others of the rest.
+// limitReportsForPeers returns the limit reports to send to other boxes: all recent changes, and some
+// of the remaining reports, whose number is bounded by others.
 func (f *fleet) limitReportsForPeers(now time.Time, others int) []ratelimit.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.limits.ReportsForPeers(now, others)
 }
 
-// useGrant uses a permit of a grant that was requested at the time, and stores the others for later
-// requests. It returns the target of the permit used; empty if there is none or it has expired.
+// useGrant uses one permit of the grant, and stores the other permits for later requests. requested is
+// the time at which the grant was requested. It returns the target of the permit used; empty if the
+// grant has no permit or its permits have expired.
 func (f *fleet) useGrant(requested time.Time, g ratelimit.Grant) domain.InstanceID {
 	if g.Permits > 0 && !ratelimit.PermitExpired(clock.Now(), requested) {
 		g.Permits--
@@ -218,7 +219,7 @@
 	return ""
 }
 
-// storeGrant stores a grant that was requested at the time, for later requests.
+// storeGrant stores the grant for later requests. requested is the time at which the grant was requested.
 func (f *fleet) storeGrant(requested time.Time, g ratelimit.Grant) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/hall_poller.go
+++ b/node/hall_poller.go
@@ -18,10 +18,10 @@
 const (
 	// hallPollTimeout bounds a request for the report of a hall.
 	hallPollTimeout = agentPollTimeout
-	// minMaxReportAge is the lower limit of the age at which this box no longer relies on another
-	// box's report of a target and queries the target itself: the time of several requests to the
-	// target and to that box. It is shorter than the time after which a target that does not report
-	// is suspect.
+	// minMaxReportAge is the lower limit of maxReportAge, the age at which this box no longer relies
+	// on another box's report of a target and queries the target itself: the time of several requests
+	// to the target and to that box. It is shorter than the time after which a target that does not
+	// report is suspect.
 	minMaxReportAge = time.Second
 )
 
@@ -38,7 +38,7 @@
 	mu           sync.Mutex
 	reporters    *membership.HallReporters
 	role         membership.Role
-	position     int       // of this box among the boxes of its hall, in the order of names
+	position     int       // position of this box among the boxes of its hall, in the order of names
 	hubFollowsAt time.Time // when a hub of the hall last reported that it follows the store
 	storeHealthy func() bool
 	halls        map[domain.HallName]bool // the halls with a running poll loop
@@ -73,8 +73,8 @@
 const hubReliedOnFor = time.Second
 
 // storeFollowers returns how many boxes follow the store, and the position of this box among them.
-// If this box is a hub, they are the hubs of all halls, and one of them soon notices a watch that
-// the store has silently dropped; otherwise they are all boxes.
+// If this box is a hub, the followers are the hubs of all halls, which are enough for one of them to
+// notice soon that the store has silently dropped a watch. Otherwise all boxes follow the store.
 func (p *hallPoller) storeFollowers() (boxes, position int) {
 	p.mu.Lock()
 	role, own := p.role, p.position
@@ -176,7 +176,7 @@
 		if p.shouldPoll(hall) {
 			p.poll(ctx, hall)
 		} else {
-			pause = p.maxReportAge() / 2 // then checks whether the hubs still report on the hall
+			pause = p.maxReportAge() / 2 // until the next check whether the hubs still report on the hall
 		}
 		clock.SleepUntil(ctx, clock.Now().Add(pause))
 	}
--- a/node/limiting.go
+++ b/node/limiting.go
@@ -68,7 +68,7 @@
 	issuer, from := l.permitSource(now, svc)
 	reports := l.entry.fleet.limitReports(targets)
 	var g ratelimit.Grant
-	label := "issuer" // of the metric
+	label := "issuer" // label of the metric
 	switch s := from.(type) {
 	case ratelimit.Local:
 		g = l.issue(now, svc, reports)
@@ -89,7 +89,7 @@
 }
 
 // permitSource returns the issuer of the service, and where permits for the service come from. If the
-// issuer is to be sent a request, that is recorded as sent.
+// source requires a request to the issuer, the request is recorded as sent.
 func (l *limiting) permitSource(now time.Time, svc domain.ServiceName) (membership.Contact, ratelimit.Source) {
 	issuer := l.entry.peering.issuer(now, svc)
 	l.mu.Lock()
@@ -106,7 +106,8 @@
 	return issuer, from
 }
 
-// isIssuer reports whether this box is the issuer of the service, given the box that is.
+// isIssuer reports whether this box issues the permits of the service. issuer is the issuer according to
+// the boxes that this one knows.
 func (l *limiting) isIssuer(issuer domain.BoxID, svc domain.ServiceName) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -244,8 +245,8 @@
 	return reports
 }
 
-// reportsForPeers returns the limit reports to send to other boxes: all recent changes, and up to others
-// of the rest.
+// reportsForPeers returns the limit reports to send to other boxes: all recent changes, and some of the
+// remaining reports, whose number is bounded by others.
 func (l *limiting) reportsForPeers(now time.Time, others int) []mesh.LimitReport {
 	var list []mesh.LimitReport
 	for _, r := range l.entry.fleet.limitReportsForPeers(now, others) {
--- a/node/peering.go
+++ b/node/peering.go
@@ -28,20 +28,21 @@
 	// boxes there are.
 	advertFanout = 8
 	// maxAdvertised is how many other boxes an advert lists, and maxAdvertisedOld how many of
-	// them may be boxes that are not new. A box receives a few dozen adverts a second, so that even
-	// of hundreds of boxes each is listed to it within the time for which a box counts as alive.
+	// them may be boxes that are not new. A box receives a few dozen adverts a second. Even with
+	// hundreds of boxes, these adverts list each box at least once within the time for which a box
+	// counts as alive.
 	maxAdvertised, maxAdvertisedOld = 16, 2
 	// seedInterval is the time between two adverts to the seeds by a box that has other peers:
-	// they join parts of the system that have lost each other.
+	// the seeds reconnect parts of the system that have lost contact with each other.
 	seedInterval = 5 * time.Second
 	// allWorksInterval is the time between two rounds in which a box reports all works in
-	// quarantine: the time that a box has to catch up after it was cut off, in which on average it
-	// receives them from several others.
+	// quarantine. A box that was cut off has to catch up within this time, and on average receives
+	// the works from several others in it.
 	allWorksInterval = 3 * time.Second
 )
 
-// peering sends other entry boxes the updates that this box has, and pulls from them those that it
-// lacks: so a box that the store rejects still receives all updates.
+// peering sends other entry boxes the updates that this box has, and pulls from them the updates that
+// this box lacks, so that a box whose calls the store rejects still receives all updates.
 //
 // Lock order: mu, then the locks of view and fleet.
 type peering struct {
@@ -109,7 +110,8 @@
 	return p.boxes.InHall(clock.Now(), hall)
 }
 
-// isolated reports whether this box receives nothing from any box of other data halls any more.
+// isolated reports whether this box knows boxes of other data halls and has received nothing from any
+// of them for longer than membership.ReachableFor.
 func (p *peering) isolated(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,8 +226,8 @@
 	}
 }
 
-// noteAllLimits records whether the reply contains all limits, as that of a box that has run for a
-// while does.
+// noteAllLimits records whether the reply contains all limits, as the reply of a box that has run for
+// a while does.
 func (p *peering) noteAllLimits(reply *mesh.Advert) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/quarantine_sync.go
+++ b/node/quarantine_sync.go
@@ -19,8 +19,9 @@
 )
 
 // quarantineSync holds the box's register of works under which targets ended, and exchanges the
-// register with other boxes and with the store. The store has it because all boxes may end at once,
-// and must not send such work again when they have restarted. It implements gateway.Quarantine.
+// register with other boxes and with the store. The register is kept in the store because all boxes may
+// end at once, and must not send such work again after they restart. quarantineSync implements
+// gateway.Quarantine.
 //
 // Lock order: mu is the only lock, and no I/O is done under it.
 type quarantineSync struct {
@@ -163,7 +164,7 @@
 }
 
 // run reads the records of other boxes from the store and writes those of this box, until ctx ends.
-// When the whole system starts for the first time, which first reports, there is nothing to read.
+// If first is set, the whole system starts for the first time, and the store has no records to read.
 func (q *quarantineSync) run(ctx context.Context, s store.RecordStore, first bool) {
 	loaded := first
 	ticker := time.NewTicker(storeReadInterval)
--- a/node/record_follower.go
+++ b/node/record_follower.go
@@ -28,9 +28,9 @@
 	onChanges func(store.Changes)
 	onFailure func() // called after each call that the store did not answer
 
-	peers         func() (boxes, position int) // the boxes that follow the store and notify each other of changes
+	peers         func() (boxes, position int) // returns how many boxes follow the store and notify each other of changes, and the position of this box among them
 	delegated     func() bool                  // reports whether another box follows the store for this one
-	knownPosition func() store.Position        // up to which this box has the records, from the store or from peers
+	knownPosition func() store.Position        // returns the position up to which this box has the records, from the store or from peers
 	era           func() store.Era             // the latest era of the store that this box has observed
 
 	failing bool        // the store did not answer the last call
@@ -53,9 +53,10 @@
 const (
 	// minStoreBackoff is the first pause after the store failed, and maxStoreBackoff the longest.
 	minStoreBackoff, maxStoreBackoff = 100 * time.Millisecond, time.Second
-	// The bounds of the settings are divided by these: backoffsPerBound pauses after failures fit into
-	// the bound of a change of the configuration, watchesPerBound watches into the bound of contact,
-	// and changePausesPerBound pauses that collect changes into the bound of draining.
+	// Divisors of the bounds in the settings: backoffsPerBound is the number of pauses after failures
+	// that fit into the ConfigApply bound, watchesPerBound the number of watches that fit into the
+	// Contact bound, and changePausesPerBound the number of pauses for collecting changes that fit
+	// into the Drain bound.
 	backoffsPerBound, watchesPerBound, changePausesPerBound = 4, 2, 8
 )
 
@@ -123,9 +124,9 @@
 // waitCheckInterval is the time between two checks of whether a watch waits too long.
 const waitCheckInterval = 250 * time.Millisecond
 
-// limitWait cancels a watch that was started with a long wait because many boxes shared the watching,
-// once too few of them are left: no other box would notify this one of changes if the store had
-// silently dropped the watch.
+// limitWait cancels a watch whose wait has become too long for the number of boxes that still follow
+// the store. The wait is long while many boxes follow the store; with few left, no other box would
+// notify this one of changes if the store had silently dropped the watch.
 func (f *recordFollower) limitWait(returned <-chan struct{}, cancel context.CancelFunc, began time.Time) {
 	ticker := time.NewTicker(waitCheckInterval)
 	defer ticker.Stop()
--- a/node/suspended.go
+++ b/node/suspended.go
@@ -7,8 +7,8 @@
 	"clovertrail.dev/telemetry"
 )
 
-// onSuspended handles a suspension of the machine of the given duration, or the error for which
-// suspensions cannot be detected.
+// onSuspended handles a suspension of the machine for the duration d, or the error that keeps
+// suspensions from being detected.
 func (p *loadedProcess) onSuspended(d time.Duration, err error) {
 	if err != nil {
 		p.common.Log.Error("reading the clocks failed, suspensions of the machine are not detected", "err", err)
