--- a/node/distribution/count_deltas.go
+++ b/node/distribution/count_deltas.go
@@ -8,8 +8,8 @@
 	"clovertrail.dev/mesh"
 )
 
-// maxSampleAge bounds the age of the counts of a requester's previous request: over a longer
-// time, the demand before a shift would hide the shift.
+// maxSampleAge bounds the time since a requester's previous request for which an increase is
+// computed: over a longer time, counts from before a shift in demand would hide the shift.
 const maxSampleAge = 3 * time.Second
 
 // CountDeltas converts the running counts of an engine's selected experts into their increase
@@ -18,10 +18,10 @@
 // Lock order: mu is the only lock.
 type CountDeltas struct {
 	mu   sync.Mutex
-	last map[domain.GroupName]map[int]countSample // by the requester's group and rank
+	last map[domain.GroupName]map[int]countSample // sample of the previous request, by the requester's group and rank
 }
 
-// Requester identifies the rank of a group whose coordinator requests counts.
+// Requester identifies the coordinator that requests counts, by its group and rank.
 type Requester struct {
 	Group domain.GroupName
 	Rank  int
--- a/node/distribution/forwarders.go
+++ b/node/distribution/forwarders.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// Next returns the addresses of the forwarders in turn; empty if there is none.
+// Next returns the address of the next forwarder, taking them in turn; empty if there is none.
 func (f *Forwarders) Next(now time.Time) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/distribution/group_update.go
+++ b/node/distribution/group_update.go
@@ -7,7 +7,7 @@
 )
 
 // updateInterval is the time between two updates of an agent that already has the members of
-// its group: the other processes that it was informed of may be gone.
+// its group. Updates are repeated because forwarders that the agent was sent may be gone.
 const updateInterval = 5 * time.Second
 
 // GroupUpdate decides when an entry box sends an agent the members of its group. These are
@@ -16,8 +16,8 @@
 	acknowledged      bool          // whether the agent has acknowledged any epoch
 	acknowledgedEpoch orders.Epoch  // the last epoch that the agent acknowledged
 	lastUpdate        time.Time     // time of the last update, by any box
-	jitter            float64       // share of the spread that this box waits
-	wait              time.Duration // from a response without the epoch to the update
+	jitter            float64       // from 0 up to 1: share of the spread after which this box updates the agent
+	wait              time.Duration // time from a response without the epoch to the update
 	lackingSince      time.Time     // when the agent was first found to lack the group; zero if it has the members
 }
 
@@ -59,7 +59,7 @@
 	if u.acknowledgedEpoch == e {
 		u.lackingSince = time.Time{}
 		if u.lastUpdate.IsZero() {
-			u.lastUpdate = now // another box updated it
+			u.lastUpdate = now // another box updated the agent
 		}
 	} else if u.lackingSince.IsZero() {
 		u.lackingSince = now
--- a/node/distribution/maps.go
+++ b/node/distribution/maps.go
@@ -18,7 +18,7 @@
 type ReceivedMaps struct {
 	mu       sync.Mutex
 	epoch    orders.Epoch
-	versions []orders.Version // of the maps, in the order received
+	versions []orders.Version // versions of the maps, in the order received
 	maps     map[orders.Version]orders.Placement
 }
 
--- a/node/distribution/target_statuses.go
+++ b/node/distribution/target_statuses.go
@@ -9,8 +9,8 @@
 )
 
 // statusRetention is how long after a target's last report its status is still sent to other
-// boxes: long enough for them to notice that the target has stopped reporting, and short, since
-// the targets of a box that is gone for good add to every response.
+// boxes. It is long enough for them to notice that the target has stopped reporting, and not
+// longer, since the statuses of targets that are gone for good add to the size of every response.
 const statusRetention = 10 * time.Second
 
 // TargetStatuses holds the last status received of each target, from the target itself or from
--- a/node/entry.go
+++ b/node/entry.go
@@ -19,7 +19,7 @@
 	"clovertrail.dev/transport"
 )
 
-// sweepInterval is the time between two passes that close idle connections which are too old.
+// sweepInterval is the time between two passes that close connections which were idle for too long.
 const sweepInterval = time.Second
 
 // Entry is the process of an entry box.
@@ -142,7 +142,7 @@
 	go targets.run(ctx)
 }
 
-// sweepConnections closes idle connections to targets that are too old, until ctx ends.
+// sweepConnections closes connections to targets that were idle for too long, until ctx ends.
 func (e *Entry) sweepConnections(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.SleepUntil(ctx, clock.Now().Add(sweepInterval))
--- a/node/quarantine_sync.go
+++ b/node/quarantine_sync.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// observations returns the observations to send to other boxes: the recent ones or, if all is set,
-// also those that the boxes may have missed.
+// observations returns the observations to send to other boxes: the recent ones and, if all is set, those
+// of all works in quarantine, for boxes that may have missed some.
 func (q *quarantineSync) observations(now time.Time, all bool) []mesh.WorkObservation {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -40,7 +40,7 @@
 	mu           sync.Mutex
 	report       platform.Report     // last report of the engine
 	readAt       time.Time           // when report was read
-	members      map[int]mesh.Member // own group, by rank
+	members      map[int]mesh.Member // members of the own group, by rank
 	epoch        orders.Epoch        // the epoch for which members were received
 	shape        *rebalance.Shape
 	forwarders   *distribution.Forwarders
--- a/node/rank/dispatching.go
+++ b/node/rank/dispatching.go
@@ -55,11 +55,11 @@
 		"copying", o.PrepareTime, "held", held, "after", took)
 }
 
-// overheadWeight is the weight of the latest map change in the average of overhead.
+// overheadWeight is the weight of the latest map change in overhead, which is a moving average.
 const overheadWeight = 0.3
 
-// updateOverhead adds a map change to the average of the time that map changes take in
-// addition to their copies.
+// updateOverhead adds a map change that took the given time to overhead, the moving average of the
+// time that map changes take in addition to their copies.
 func (g *groupCoordinator) updateOverhead(took time.Duration) {
 	g.overhead += time.Duration(overheadWeight * float64(max(took-g.copyTime, 0)-g.overhead))
 }
@@ -67,7 +67,7 @@
 // sendBatches sends the orders that can be sent in one call for many ranks, and returns the
 // other calls.
 func (g *groupCoordinator) sendBatches(ctx context.Context, calls []orders.Call, distributionTime time.Duration) []orders.Call {
-	maps := map[orders.Version][]orders.Call{} // by the version of the base that their maps are sent as changes of
+	maps := map[orders.Version][]orders.Call{} // Prepare calls, by the version of the map that the changed rows are based on
 	var underHoldCalls, rest []orders.Call
 	for _, c := range calls {
 		_, prepares := c.Order.(orders.Prepare)
@@ -163,9 +163,10 @@
 	return nil
 }
 
-// sendBatch sends an order for several ranks to the process at the address. Whole maps for
-// relays are not limited by mapSends as those for single ranks are: there are ten
-// relays, and a relay responds only once all its ranks have, so that two at a time took a second.
+// sendBatch sends an order for several ranks to the process at the address. Unlike whole maps for
+// single ranks, whole maps for relays are not limited by mapSends. There are ten relays, and each
+// responds only after all its ranks have responded: sent to two relays at a time, a map took a
+// second to reach all ranks.
 func (g *groupCoordinator) sendBatch(ctx context.Context, address string, call *mesh.FanOutCall, calls []orders.Call, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -237,8 +238,8 @@
 	return ok
 }
 
-// underHold reports whether the order is sent while the group is held, or holds it. This is so
-// for all orders but Prepare, which only copies experts and does not change the map in use.
+// underHold reports whether the order holds the group or is sent while the group is held: all
+// orders except Prepare, which only copies experts and does not change the map in use.
 func underHold(o orders.Order) bool {
 	_, copies := o.(orders.Prepare)
 	return !copies
--- a/node/rank/groupcoordinator.go
+++ b/node/rank/groupcoordinator.go
@@ -18,8 +18,8 @@
 const (
 	// coordinatorTick is the time between two checks for due work: less than a step.
 	coordinatorTick = 20 * time.Millisecond
-	// idleTick is the same for a rank that does not coordinate: several checks within the
-	// time without a read after which it takes over.
+	// idleTick is the time between two checks of a rank that does not coordinate: several
+	// checks within the time without a read after which the rank takes over.
 	idleTick = 100 * time.Millisecond
 	// readTimeout bounds a read of another rank.
 	readTimeout = 250 * time.Millisecond
@@ -31,10 +31,10 @@
 	// that is only slow must not consider the coordinator lost.
 	unresponsivePeriod = 200 * time.Millisecond
 	// parallelMapSendTime bounds how long whole maps that are sent in parallel fill this
-	// box's link, and so the delay of messages queued behind them.
+	// box's link. It thereby bounds the delay of messages queued behind the maps.
 	parallelMapSendTime = 25 * time.Millisecond
-	// frequentReadPeriod is how long after an attempt its ranks are read more often: until
-	// the armed step has begun, a few steps later.
+	// frequentReadPeriod is how long the ranks are still read more often after an attempt at
+	// a map change: until the armed step has begun, a few steps later.
 	frequentReadPeriod = 250 * time.Millisecond
 	// linkShare is the share of the box's link that reads and the distribution of maps may
 	// use; the rest is left to the engine and to requests.
@@ -65,20 +65,20 @@
 	counts    *distribution.Counter
 	estimate  *rebalance.Estimate
 	slowdowns []float64 // by rank, as last reported
-	// experts holds, by rank, the experts of the map in use as far as they were read, all
-	// of version expertsVersion.
+	// experts holds the experts of the map in use, of version expertsVersion, by rank. Ranks
+	// whose experts have not been read are missing.
 	experts         map[int][][]int
 	expertsVersion  orders.Version
 	lastFullRead    time.Time            // start of the last read of all ranks
 	lastPartialRead time.Time            // start of the last read of the ranks that an attempt needs
 	lastCountsRead  time.Time            // start of the last read that requested counts
 	relays          *distribution.Relays // nil if each rank is called directly
-	readTime        time.Duration        // of the slowest recent reads
-	overhead        time.Duration        // of a map change, in addition to its copies
-	copyTime        time.Duration        // expected for the proposed map
+	readTime        time.Duration        // duration of the slowest recent read, decaying with each round
+	overhead        time.Duration        // average time that a map change takes in addition to its copies
+	copyTime        time.Duration        // expected time of the copies for the proposed map
 	sentMaps        *distribution.SentMaps
 	changedRows     int           // rows of the proposed map that differ from the map in use
-	mapSends        chan struct{} // semaphore of the whole maps sent in parallel
+	mapSends        chan struct{} // semaphore that limits the whole maps sent in parallel
 	lastAttemptEnd  time.Time
 	planDue         bool // counts were added to the estimate since the last plan
 	readInFlight    map[int]bool
--- a/node/rank/orders.go
+++ b/node/rank/orders.go
@@ -38,9 +38,9 @@
 }
 
 // sendViaForwarder sends an order to a rank's engine through a forwarder. If a box fails at
-// the moment it sends an order under a hold, the others cannot tell which orders the engine on
-// that box received, and the group stays held until the box is back. A failed box without a
-// rank of the group leaves no such doubt, since every engine can still be read.
+// the moment it sends an order under a hold, the other ranks cannot tell which orders the engine
+// on that box received, and the group stays held until the box is back. If the failed box has no
+// rank of the group, every engine can still be read, and shows which orders it received.
 func (a *Agent) sendViaForwarder(ctx context.Context, forwarder string, m mesh.Member, c orders.Call) (orders.Result, error) {
 	call := mesh.NewOrderCall(c)
 	call.Engine = m.Target
--- a/node/rank/planning.go
+++ b/node/rank/planning.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// slowdownLogThreshold is the least change of a rank's slowdown that is logged, and the least
-// excess over 1 of either value.
+// slowdownLogThreshold is the change of a rank's slowdown above which the change is logged. Also, the
+// value before or after the change must exceed 1 by more than this threshold.
 const slowdownLogThreshold = 0.1
 
 // recordSlowdown stores how many times longer than usual the steps of a rank take.
--- a/node/rank/reading.go
+++ b/node/rank/reading.go
@@ -13,8 +13,9 @@
 // This file contains the reads of a coordinator: one call per rank, or in a large group
 // through relays (distribution.Relays).
 
-// relayThreshold is the time that direct reads of all ranks take on this box's share of its
-// link above which relays are used: several times the pause between two rounds of reads.
+// relayThreshold is the longest time that direct reads of all ranks may take on linkShare of this
+// box's link; relays are used in groups for which they would take longer. It is several times the
+// pause between two rounds of reads.
 const relayThreshold = 3 * readInterval
 
 // minRelayedCountsInterval is the least time between two requests for expert counts through
@@ -114,8 +115,8 @@
 	g.planIfDue(now)
 }
 
-// handleGather processes the outcome of a read through a relay. Ranks that are missing from it
-// are read directly next time.
+// handleGather processes the outcome of a read through a relay. Ranks that are missing from the
+// relay's response are read directly next time.
 func (g *groupCoordinator) handleGather(now time.Time, e gatherDone) {
 	for _, r := range e.assignment.Ranks {
 		g.readInFlight[r] = false
--- a/node/rank/relaying.go
+++ b/node/rank/relaying.go
@@ -98,7 +98,7 @@
 	var reply *mesh.OrderReply
 	var err error
 	if o.Prepare != nil {
-		prepare := *o.Prepare // the own agent expands it in place; the others receive only the changed rows
+		prepare := *o.Prepare // copied because the own agent expands it in place, and the others are to receive only the changed rows
 		o.Prepare = &prepare
 	}
 	if m.Agent == a.settings().Peers {
