--- a/node/adverts.go
+++ b/node/adverts.go
@@ -16,8 +16,8 @@
 // This file builds the adverts of this box and processes those of other boxes.
 
 // advert returns an advert of this box. If changesOnly is set, the advert lists no other boxes, and
-// only limits that changed recently. If all is set, the advert contains all observations of works that
-// ended targets, for boxes that may have missed some.
+// only limits that changed recently. If all is set, the advert contains the observations of all works in
+// quarantine and not only the recent ones, for boxes that may have missed some.
 func (p *peering) advert(changesOnly, all bool) *mesh.Advert {
 	now := clock.Now()
 	others := otherLimitsPerRound
--- a/node/distribution/distribution_test.go
+++ b/node/distribution/distribution_test.go
@@ -176,7 +176,7 @@
 	}
 }
 
-// Counts are packed into one byte each; the test packs counts far above that.
+// Counts are packed into one byte each; the test packs counts far above 255.
 func TestPackRoundsLargeCountsWithinHalfAUnit(t *testing.T) {
 	numbers := []uint64{0, 40, 5_000, 100_000, 1_000_000}
 	p := mesh.NewExpertCounts(numbers)
@@ -247,8 +247,8 @@
 	}
 }
 
-// Thirty boxes of a hall each query an agent every half second, at different times, after the
-// agent started. Updates from all of them would fill the agent's link.
+// Thirty boxes of a hall each query a newly started agent every half second, at different times.
+// If all of them sent the agent an update, the updates would fill its link.
 func TestGroupUpdateIsSentByFewOfManyBoxes(t *testing.T) {
 	const boxes, every = 30, 500 * time.Millisecond
 	rnd := rand.New(rand.NewPCG(5, 6))
@@ -272,7 +272,7 @@
 	}
 }
 
-// A box that is one of three querying an agent waits much less than one of thirty.
+// With three boxes querying an agent, a box waits much less before an update than with thirty.
 func TestGroupUpdateWaitIsShortWithFewBoxes(t *testing.T) {
 	wait := func(boxes int) time.Duration {
 		u := distribution.NewGroupUpdate(1)
--- a/node/entry_test.go
+++ b/node/entry_test.go
@@ -127,8 +127,9 @@
 // usedAddresses holds the addresses that freeAddress has returned.
 var usedAddresses sync.Map
 
-// freeAddress returns an address with a port on which nothing listens. It is on a loopback
-// IP address of this process's own, and is returned once, so that nothing else uses it before the box.
+// freeAddress returns an address with a port on which nothing listens. The loopback IP address is
+// derived from the process ID and no address is returned twice, so that no other test or process
+// uses the port before the box does.
 func (r *rig) freeAddress() string {
 	const octet = 250
 	pid := os.Getpid()
--- a/node/peering.go
+++ b/node/peering.go
@@ -52,7 +52,7 @@
 
 	mu           sync.Mutex
 	boxes        *membership.Boxes
-	calling      map[string]bool // the addresses with a call in progress
+	calling      map[string]bool // calls in progress, by address; the key of a pull begins with "pull "
 	incarnations *membership.IncarnationTracker
 	behindSince  time.Time // when this box was first behind another; zero if it is not
 	seededAt     time.Time // time of the last advert to the seeds
@@ -197,7 +197,7 @@
 	p.catchUp(ctx)
 }
 
-// startCall runs the call in the background unless one to the same address is in progress.
+// startCall runs the call in the background unless a call with the same key in calling is in progress.
 func (p *peering) startCall(address string, call func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -92,8 +92,8 @@
 	return a.stop(g, done, cancel)
 }
 
-// stop waits until a map change under way has ended, so that the group is not left held.
-// The wait is bounded by the stop time of the settings.
+// stop waits until no map change of this coordinator holds the group, so that the group is not
+// left held. The wait is bounded by the stop time of the settings.
 func (a *Agent) stop(g *groupCoordinator, done <-chan struct{}, cancel context.CancelFunc) error {
 	startedAt := clock.Now()
 	a.common.Log.Info("leaving")
