--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -40,7 +40,7 @@
 	mu           sync.Mutex
 	report       platform.Report     // last report of the engine
 	readAt       time.Time           // when report was read
-	members      map[int]mesh.Member // own group, by rank
+	members      map[int]mesh.Member // members of the own group, by rank
 	epoch        orders.Epoch        // the epoch for which members were received
 	shape        *rebalance.Shape
 	forwarders   *distribution.Forwarders
@@ -92,8 +92,8 @@
 	return a.stop(g, done, cancel)
 }
 
-// stop waits until a map change under way has ended, so that the group is not left held.
-// The wait is bounded by the stop time of the settings.
+// stop waits until no map change of this coordinator holds the group, so that the group is not
+// left held. The wait is bounded by the stop time of the settings.
 func (a *Agent) stop(g *groupCoordinator, done <-chan struct{}, cancel context.CancelFunc) error {
 	startedAt := clock.Now()
 	a.common.Log.Info("leaving")
