--- a/node/adverts.go
+++ b/node/adverts.go
@@ -104,8 +104,8 @@
 	return progress
 }
 
-// meet implements mesh.ExchangeAdverts.
-func (p *peering) meet(_ context.Context, a *mesh.Advert) (*mesh.Advert, error) {
+// exchangeAdverts implements mesh.ExchangeAdverts.
+func (p *peering) exchangeAdverts(_ context.Context, a *mesh.Advert) (*mesh.Advert, error) {
 	p.mu.Lock()
 	remembered := p.boxes.LatestIncarnation(a.Self.Box) // read before receive records the incarnation in the advert
 	p.mu.Unlock()
--- a/node/entry.go
+++ b/node/entry.go
@@ -91,13 +91,13 @@
 	e.ready.configured.Store(true)
 }
 
-// command forwards an order to one engine for the coordinator of a group.
-func (e *Entry) command(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
+// sendOrder forwards an order to one engine for the coordinator of a group.
+func (e *Entry) sendOrder(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
 	return rank.ForwardOrder(ctx, e.common, e.engines, c)
 }
 
-// deal forwards an order to many engines for the coordinator of a group.
-func (e *Entry) deal(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
+// fanOut forwards an order to many engines for the coordinator of a group.
+func (e *Entry) fanOut(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
 	return rank.ForwardToEngines(ctx, e.common, e.engines, c)
 }
 
--- a/node/peering.go
+++ b/node/peering.go
@@ -130,12 +130,12 @@
 // serve serves the calls of other boxes at the addresses of the settings.
 func (p *peering) serve(ctx context.Context, failed chan<- error) error {
 	mux := mesh.NewMux()
-	mesh.Handle(mux, mesh.ExchangeAdverts, p.meet)
+	mesh.Handle(mux, mesh.ExchangeAdverts, p.exchangeAdverts)
 	mesh.Handle(mux, mesh.Pull, p.pull)
 	mesh.Handle(mux, mesh.QueryHall, p.entry.hallPoller.report)
 	mesh.Handle(mux, mesh.Permit, p.entry.limiting.permit)
-	mesh.Handle(mux, mesh.SendOrder, p.entry.command)
-	mesh.Handle(mux, mesh.FanOut, p.entry.deal)
+	mesh.Handle(mux, mesh.SendOrder, p.entry.sendOrder)
+	mesh.Handle(mux, mesh.FanOut, p.entry.fanOut)
 	for _, address := range []string{p.entry.settings().Peers, p.entry.settings().Meeting} {
 		if address == "" {
 			continue
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -112,9 +112,9 @@
 	m := mesh.NewMux()
 	mesh.Handle(m, mesh.Watch, a.handleWatch)
 	mesh.Handle(m, mesh.Read, a.handleRead)
-	mesh.Handle(m, mesh.SendOrder, a.handleCommand)
+	mesh.Handle(m, mesh.SendOrder, a.handleSendOrder)
 	mesh.Handle(m, mesh.Gather, a.handleGather)
-	mesh.Handle(m, mesh.FanOut, a.handleDeal)
+	mesh.Handle(m, mesh.FanOut, a.handleFanOut)
 	return m
 }
 
@@ -259,8 +259,8 @@
 	return rankReport(r), nil
 }
 
-// handleCommand sends an order to the own engine, or to another engine if the call names one.
-func (a *Agent) handleCommand(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
+// handleSendOrder sends an order to the own engine, or to another engine if the call names one.
+func (a *Agent) handleSendOrder(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
 	if err := a.receivedMaps.Expand(c); err != nil {
 		return nil, err
 	}
--- a/node/rank/relaying.go
+++ b/node/rank/relaying.go
@@ -70,8 +70,8 @@
 	return out
 }
 
-// handleDeal sends an order to ranks of the own group, or to the engines that the call names.
-func (a *Agent) handleDeal(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
+// handleFanOut sends an order to ranks of the own group, or to the engines that the call names.
+func (a *Agent) handleFanOut(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
 	if len(c.Engines) > 0 {
 		return ForwardToEngines(ctx, a.common, a.http, c)
 	}
@@ -102,7 +102,7 @@
 		o.Prepare = &prepare
 	}
 	if m.Agent == a.settings().Peers {
-		reply, err = a.handleCommand(ctx, &o)
+		reply, err = a.handleSendOrder(ctx, &o)
 	} else {
 		reply, err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, m.Agent, mesh.SendOrder, &o)
 	}
