--- a/experts/rebalance/doc.go
+++ b/experts/rebalance/doc.go
@@ -2,7 +2,7 @@
 // tokens evenly over the ranks that hold it, and whose demand shifts within
 // seconds.
 //
-// The time of a step is, layer by layer, that of the most loaded rank. Copying an expert
+// Each layer of a step takes as long as the most loaded rank needs for it. Copying an expert
 // to a rank takes time during which steps are slower, ranks copy in parallel, and a map
 // takes effect only once all ranks are ready. So the cost of a plan is the number of
 // copies of the rank that has the most to copy. The planner adds or moves one copy at a
--- a/experts/rebalance/estimate.go
+++ b/experts/rebalance/estimate.go
@@ -4,7 +4,7 @@
 
 // Estimate smooths the numbers of tokens per expert, layer by layer, and follows a shift
 // at once: when a report differs from the mean by more than noise explains, the mean is
-// reset to it.
+// reset to the report.
 type Estimate struct {
 	layers []layerEstimate
 }
--- a/experts/rebalance/layer.go
+++ b/experts/rebalance/layer.go
@@ -81,8 +81,8 @@
 const none = -1
 
 // maxReceivers bounds the ranks that are considered for a new copy, the least loaded first:
-// another rank is seldom the best one, and in groups of more ranks the bound reduces the
-// planning time to a fraction.
+// a more loaded rank is seldom the best receiver, and in groups of more ranks the bound
+// reduces the planning time to a fraction.
 const maxReceivers = 32
 
 // bestChange returns the change that reduces the layer's unevenness the most, among ranks
--- a/experts/rebalance/planner.go
+++ b/experts/rebalance/planner.go
@@ -40,20 +40,21 @@
 	// MaxCopies bounds the copies of one rank in one plan.
 	MaxCopies int
 	// Overhead is the time of a map change in addition to the copies: to distribute the
-	// map, hold and arm. While the skew is steep, a plan copies no longer than that.
+	// map, hold and arm. While the skew exceeds steepSkew, a plan copies no longer than the
+	// overhead.
 	Overhead time.Duration
 	// MinSaving is the time that a plan must save within the horizon, as a share of it.
 	MinSaving float64
 }
 
 // steepSkew is the skew above which a plan copies no longer than the overhead of its map
-// change, though at least one expert per rank. Each further copy slows down steps that are
+// change, except that each rank may always copy one expert. Each further copy slows down steps that are
 // long already, and takes effect only with the whole plan; the first copies remove most of
 // the skew, and the next plan does the rest. Where distributing a map takes much longer than
 // a copy, one copy per rank would need many map changes in place of one.
 const steepSkew = 2
 
-// copyLimit returns the bound of the copies of one rank under the skew.
+// copyLimit returns the highest number of copies of one rank in a plan made at the skew.
 func (p Planner) copyLimit(skew float64) int {
 	if skew <= steepSkew {
 		return p.MaxCopies
@@ -64,7 +65,9 @@
 // Plan is a map with its expected effect.
 type Plan struct {
 	Map Map
-	// SkewBefore and SkewAfter are the load of the hottest ranks over that of even ranks.
+	// SkewBefore and SkewAfter are the skew of the map in use and of the planned map: the load
+	// of the hottest rank of each layer, summed over the layers, divided by the same sum for
+	// evenly loaded ranks.
 	SkewBefore, SkewAfter float64
 	// CopyTime is the time until all ranks have copied their experts.
 	CopyTime time.Duration
@@ -121,7 +124,7 @@
 	return gain*(1-c) - p.CopySlowdown*c
 }
 
-// stepTime returns the time of a step relative to one of even ranks.
+// stepTime returns the time of a step relative to a step with evenly loaded ranks.
 func (p Planner) stepTime(skew float64) float64 {
 	return 1 - p.Shape.ExpertShare + p.Shape.ExpertShare*skew
 }
@@ -140,7 +143,7 @@
 	// or of the ranks that may still copy.
 	stale    []bool
 	copies   []int   // by rank
-	evenLoad float64 // sum over the layers of the load of a rank if all ranks had the same
+	evenLoad float64 // load of a rank if all ranks had the same load, summed over the layers
 }
 
 func (p Planner) newSearch(m Map, load Load) *search {
@@ -172,8 +175,8 @@
 	return all
 }
 
-// skew returns the load of the hottest ranks, summed over the layers, over that of even
-// ranks.
+// skew returns the load of the hottest rank of each layer, summed over the layers, divided
+// by the same sum for evenly loaded ranks.
 func (s *search) skew() float64 {
 	hot := 0.0
 	for _, l := range s.layers {
@@ -184,9 +187,9 @@
 
 // minGainShare is the least gain of a change, as a share of the load of an even rank in one
 // layer, divided by the number of ranks: a change relieves one rank of one layer, and where
-// several ranks are equally hot its gain is lower the more there are. As a share of all
-// layers together, the bound would end the plans of large groups before they are even.
-// Lower gains are noise of the counts.
+// several ranks are equally hot, the gain is lower the more of them there are. A bound
+// relative to the load of all layers together would end the plans of large groups before
+// their ranks are evenly loaded. Gains below the bound are noise in the token counts.
 const minGainShare = 0.05
 
 // minGain returns the least gain of a change, in tokens.
--- a/mapswitch/orders/abort.go
+++ b/mapswitch/orders/abort.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// abort cancels the attempt, and everything else that is armed, at all ranks before the
-// hold is released. A rank is clear once it has accepted a Prepare of a new version: it
-// was not armed then, and no order for an earlier version can arm it any more.
+// abort disarms all ranks, whichever version they have armed, before the hold is released.
+// A rank is cleared once it has accepted a Prepare of a new version: an armed rank refuses
+// every Prepare, and no order for an earlier version can arm the rank any more.
 func (c *Coordinator) abort(now time.Time) {
 	c.attempt.Reason = NotArmed
 	c.enterPhase(now, clearing)
@@ -22,7 +22,7 @@
 
 // voidingOrder returns a Prepare that makes earlier versions void at a rank. Its map is
 // one that the rank can accept: the proposed map, which the rank prepared before, or the
-// map in use; after each refusal the other of the two.
+// map in use. After each refusal, the other of the two is tried.
 func (c *Coordinator) voidingOrder(r int) Order {
 	m := c.proposed
 	if m == nil || c.current != nil && c.ranks[r].refusals%2 == 1 {
@@ -37,9 +37,9 @@
 	c.ranks[r].delivery = delivery{id: c.lastDelivery, order: c.voidingOrder(r)}
 }
 
-// handleClearingRefused processes a refusal while ranks are cleared. A rank that refuses
-// to disarm uses that map already and has nothing armed; a rank that refuses to prepare
-// is armed, by an order that arrived late.
+// handleClearingRefused processes a refusal while ranks are cleared. A rank refuses a
+// Disarm if it already uses the map of that version, and then has nothing armed. A rank
+// refuses a Prepare if an Arm that arrived late has armed it.
 func (c *Coordinator) handleClearingRefused(r int) {
 	k := &c.ranks[r]
 	if _, disarming := k.delivery.order.(Disarm); disarming {
--- a/mapswitch/orders/attempt.go
+++ b/mapswitch/orders/attempt.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// prepareGrace is the time that ranks have to prepare a map in addition to the expected
-// times of copying and distribution: lost orders are sent again within it.
+// prepareGrace is the time that ranks have to prepare a map in addition to twice the
+// expected time of copying and distribution: lost orders are sent again within it.
 const prepareGrace = 3 * time.Second
 
 // phase is the state of an attempt.
@@ -12,10 +12,10 @@
 const (
 	idle      phase = iota // no attempt is under way
 	preparing              // ranks copy the experts of the proposed map
-	yielding               // the own rank is requested to release a later hold
-	holding                // the own rank is requested to hold a step
+	yielding               // the coordinator's own rank is requested to release a hold later than an orphaned one
+	holding                // the coordinator's own rank is requested to hold a step
 	arming                 // under the hold, ranks are requested to arm
-	clearing               // under the hold, ranks are requested to disarm and to prepare a voiding version
+	clearing               // under the hold, ranks are requested to disarm and to prepare a new version that voids earlier ones
 	releasing              // ranks are requested to release their holds
 )
 
@@ -29,13 +29,14 @@
 
 // The reasons for the end of an attempt.
 const (
-	// Committed: all ranks use the map from the step on.
+	// Committed: all ranks are armed and use the map from the held step on.
 	Committed EndReason = "committed"
-	// NotPrepared: a rank refused to copy, or took too long.
+	// NotPrepared: a rank refused to prepare the map, or was not ready in time.
 	NotPrepared EndReason = "not_prepared"
-	// NotHeld: the own rank refused the hold.
+	// NotHeld: the coordinator's own rank refused the hold.
 	NotHeld EndReason = "not_held"
-	// NotArmed: a rank refused to arm, and all others were disarmed.
+	// NotArmed: a rank refused to arm, or the attempt recovered an orphaned hold; all ranks
+	// were disarmed.
 	NotArmed EndReason = "not_armed"
 	// Overruled: a rank has received a higher fence, so another coordinator is active.
 	Overruled EndReason = "overruled"
--- a/mapswitch/orders/coordinator.go
+++ b/mapswitch/orders/coordinator.go
@@ -6,8 +6,9 @@
 	// ResendAfter is the least time without a response after which an order is sent
 	// again: several round trips between data halls of a region.
 	ResendAfter = 20 * time.Millisecond
-	// maxResendDelay bounds that time as it doubles after resendsBeforeBackoff sends: a
-	// rank that has not responded by then is unreachable rather than the orders lost.
+	// maxResendDelay is the delay from which the resend delay no longer doubles. It doubles
+	// with each send after the first resendsBeforeBackoff, since a rank that has not
+	// responded to these is more likely unreachable than all of the orders lost.
 	maxResendDelay       = 160 * time.Millisecond
 	resendsBeforeBackoff = 4
 )
@@ -31,7 +32,7 @@
 	// coordinator requested; zero if it holds none.
 	orphanSince time.Time
 	delivery    delivery
-	// refusals counts the refused Prepare orders that were to void earlier versions.
+	// refusals counts the voiding orders (see voidingOrder) that the rank refused.
 	refusals int
 }
 
@@ -59,7 +60,8 @@
 	// requested in this epoch.
 	highestRequested Version
 	lastHeldStep     Step
-	// recovering reports whether the attempt aborts one whose hold was orphaned.
+	// recovering reports whether the current attempt aborts an earlier attempt that left an
+	// orphaned hold.
 	recovering bool
 	// loss is the share of orders that get no response in time.
 	loss float64
@@ -72,8 +74,8 @@
 	outcomes  []Outcome
 }
 
-// NewCoordinator returns the coordinator beside the rank self. All coordinators of a
-// process share one generator of numbers.
+// NewCoordinator returns a coordinator that runs beside the rank self. All coordinators of
+// a process share one NumberGenerator.
 func NewCoordinator(self, ranks int, e Epoch, numbers *NumberGenerator) *Coordinator {
 	return &Coordinator{self: self, epoch: e, numbers: numbers, ranks: make([]rank, ranks)}
 }
@@ -104,9 +106,10 @@
 // time of any order: maps of large groups fill a narrow link for a while.
 func (c *Coordinator) SetDistributionTime(d time.Duration) { c.distributionTime = d }
 
-// SetReadTime sets the time of the slowest reply of a round of reads. Where it exceeds
-// freshFor, as through relays in a group of a hundred ranks, the states of all ranks are
-// never that fresh at the same time, and without this time no map would ever change.
+// SetReadTime sets the time of the slowest reply of a round of reads. Where this time
+// exceeds freshFor, as through relays in a group of a hundred ranks, states count as fresh
+// for two rounds: otherwise those of all ranks would never be fresh at the same time, and no
+// map would ever change.
 func (c *Coordinator) SetReadTime(d time.Duration) { c.readTime = d }
 
 // TakeOutcomes returns the outcomes of the attempts that ended since the last call.
@@ -129,8 +132,8 @@
 	return true
 }
 
-// newVersion returns a version that no coordinator has requested in this epoch. With a
-// version that stood for two maps, ranks could switch to different ones.
+// newVersion returns a version that no coordinator has requested in this epoch. If one
+// version stood for two maps, ranks could switch to different maps.
 func (c *Coordinator) newVersion() Version {
 	c.highestRequested = c.numbers.version(c.highestRequested, c.self, len(c.ranks))
 	return c.highestRequested
--- a/mapswitch/orders/doc.go
+++ b/mapswitch/orders/doc.go
@@ -24,9 +24,9 @@
 // of its own, and releases both. If nothing fails, all ranks have armed before the group
 // reaches the step, so the hold does not delay the group.
 //
-// A late order is harmless because its epoch is over; its version is no longer the
-// prepared one; its step has begun; or, where engines check fences, its fence is lower
-// than one received since. Safety depends neither on clocks, nor on the store, nor on
+// A late order is harmless for at least one of these reasons: its epoch is over; its
+// version is no longer the prepared one; its step has begun; or, where engines check
+// fences, its fence is lower than one received since. Safety depends neither on clocks, nor on the store, nor on
 // there being only one coordinator: two of them only make each other's attempts fail.
 //
 // A Coordinator is a state machine without I/O.
--- a/mapswitch/orders/numbergenerator.go
+++ b/mapswitch/orders/numbergenerator.go
@@ -2,8 +2,8 @@
 
 // NumberGenerator generates the fences and versions of one process. It uses no clock: the
 // clocks of boxes are set back and forth, also while a process is not running, and a
-// process that restarted with its clock behind would generate numbers again that stand for
-// other maps.
+// process that restarted with its clock behind could generate a number again that already
+// stands for another map.
 //
 // A version is higher than all that the ranks of the group have reported, and differs from
 // those of every other process by the rank and by a salt, drawn at the start: orders of a
--- a/mapswitch/orders/observing.go
+++ b/mapswitch/orders/observing.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// freshFor is how long a read state is fresh. A group is held only while the states
-	// of all ranks are: a rank that was reached a moment ago most likely receives the Arm,
-	// too, whereas a rank that stalls between the hold and its response keeps the group
-	// held. One round of reads takes some ten milliseconds; where it takes longer
+	// freshFor is how long a state counts as fresh after it was read. A hold is requested
+	// only while the states of all ranks are fresh: a rank that was reached a moment ago
+	// most likely receives the Arm, too, whereas a rank that stalls after the hold and
+	// before it responds to the Arm keeps the group held. One round of reads takes some ten milliseconds; where it takes longer
 	// (SetReadTime), states are fresh for two rounds.
 	freshFor = 50 * time.Millisecond
-	// maxFreshFor bounds that. A rank whose box stalls after it was requested to copy must
+	// maxFreshFor bounds how long a state counts as fresh after slow reads. A rank whose box stalls after it was requested to copy must
 	// not count as fresh when the others have copied: it would keep its group held until
 	// the box resumes.
 	maxFreshFor = 150 * time.Millisecond
 )
 
-// Observe processes the state of a rank, read just now. It returns false if the rank is in
-// another epoch, in which the coordinator is of no use.
+// Observe processes the state of a rank, read just now. It returns false, and ignores the
+// state, if the rank is in another epoch than the coordinator.
 func (c *Coordinator) Observe(now time.Time, r int, s State) bool {
 	if s.Epoch != c.epoch {
 		return false
@@ -38,9 +38,9 @@
 	return s.Armed.Version
 }
 
-// NeedsRead reports whether the attempt waits for a read of the rank: until the rank
-// reports that it has prepared the map or no longer holds the step, or because its state
-// is not fresh.
+// NeedsRead reports whether the attempt waits for a read of the rank. While preparing, it
+// waits for every rank to report the prepared map, and then for the states that are not
+// fresh; while releasing, for the own rank to report that it no longer holds the step.
 func (c *Coordinator) NeedsRead(now time.Time, r int) bool {
 	switch c.phase {
 	case preparing:
--- a/mapswitch/orders/orphan.go
+++ b/mapswitch/orders/orphan.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// recoverOrphan aborts the attempt of a lost process if it left a hold behind. Before it
-// changes anything it holds the same step at its own rank, so that the group stays held
+// recoverOrphan aborts the attempt of a lost process that left a hold behind. Before
+// anything else, the coordinator holds the same step at its own rank, so that the group stays held
 // until the end of the abort, whatever becomes of the orphaned hold. It does not complete
 // the map change of the other process, which may still be running.
 func (c *Coordinator) recoverOrphan(now time.Time) {
--- a/mapswitch/orders/rows.go
+++ b/mapswitch/orders/rows.go
@@ -12,7 +12,8 @@
 }
 
 // Diff returns the rows of p that differ from those of base; false if the two differ in
-// their layers or ranks. Maps of large groups change in few rows, and are sent as these.
+// their layers or ranks. Maps of large groups change in few rows, so only
+// these rows are sent.
 func (p Placement) Diff(base Placement) ([]Row, bool) {
 	if len(p) != len(base) {
 		return nil, false
--- a/mapswitch/orders/sending.go
+++ b/mapswitch/orders/sending.go
@@ -11,9 +11,9 @@
 	lossWeight = 0.05
 	// maxRedundancy bounds how many times an order is sent at once.
 	maxRedundancy = 3
-	// lossPerRedundantSend is the share of lost orders for which an order is sent once
-	// more: with that send, a group of eight ranks usually receives all orders at the
-	// first try.
+	// lossPerRedundantSend is the share of lost orders for each multiple of which orders are
+	// sent one more time at once: with that send, a group of eight ranks usually receives
+	// all orders at the first try.
 	lossPerRedundantSend = 0.08
 )
 
--- a/mapswitch/orders/standby.go
+++ b/mapswitch/orders/standby.go
@@ -3,10 +3,11 @@
 import "time"
 
 const (
-	// standbyStep is the additional delay of each of the first ranks over the rank before
-	// it: a round of reads, by which the reads of the rank before it are received.
+	// standbyStep is the additional delay of each of the first ranks relative to the
+	// preceding rank: the time of a round of reads, after which a rank has received a read
+	// from the preceding rank if that rank coordinates.
 	standbyStep = 50 * time.Millisecond
-	// standbySteps is the number of ranks with that step. It is unlikely that all of them
+	// standbySteps is the number of ranks with a delay of standbyStep. It is unlikely that all of them
 	// fail at once, so each later rank adds only laterStandbyStep.
 	standbySteps     = 10
 	laterStandbyStep = 8 * time.Millisecond
--- a/mapswitch/orders/steptimes.go
+++ b/mapswitch/orders/steptimes.go
@@ -12,11 +12,11 @@
 }
 
 const (
-	// holdLead is the time between the request of a hold and the begin of its step: the
+	// holdLead is the time between the request of a hold and the start of its step: the
 	// age of the last reads and the transit time of a few orders.
 	holdLead = 50 * time.Millisecond
-	// holdLeadPerRedundantSend is added for each redundant send of orders, since many of
-	// them are lost then.
+	// holdLeadPerRedundantSend is added for each redundant send: orders are sent redundantly
+	// when many of them are lost.
 	holdLeadPerRedundantSend = 100 * time.Millisecond
 	// leadTolerance is the share of a step by which the lead may fall short of holdLead.
 	// The step that runs may then end before the hold arrives, and the attempt is repeated.
