--- a/experts/rebalance/planner.go
+++ b/experts/rebalance/planner.go
@@ -65,7 +65,7 @@
 // Plan is a map with its expected effect.
 type Plan struct {
 	Map Map
-	// SkewBefore and SkewAfter are the skew of the map in use and of the planned map: the load
+	// SkewBefore and SkewAfter are the skews of the map passed to Plan and of its result: the load
 	// of the hottest rank of each layer, summed over the layers, divided by the same sum for
 	// evenly loaded ranks.
 	SkewBefore, SkewAfter float64
--- a/experts/rebalance/planner_test.go
+++ b/experts/rebalance/planner_test.go
@@ -49,8 +49,8 @@
 	return load
 }
 
-// checkMap returns an error if the map after cannot follow the map before in the shape, with at
-// most maxCopies copies per rank.
+// checkMap returns an error if the map after does not fit the shape or lacks an expert, or if
+// changing to it from the map before takes more copies per rank than staging or maxCopies allow.
 func checkMap(s rebalance.Shape, before, after rebalance.Map, maxCopies int) error {
 	copies := make([]int, s.Ranks)
 	for l := range after {
--- a/mapswitch/orders/coordinator.go
+++ b/mapswitch/orders/coordinator.go
@@ -8,7 +8,8 @@
 	ResendAfter = 20 * time.Millisecond
 	// maxResendDelay is the delay from which the resend delay no longer doubles. It doubles
 	// with each send after the first resendsBeforeBackoff, since a rank that has not
-	// responded to these is more likely unreachable than all of the orders lost.
+	// responded to these is more likely unreachable than all of the orders lost. The timeout
+	// of responseTimes does not exceed it either.
 	maxResendDelay       = 160 * time.Millisecond
 	resendsBeforeBackoff = 4
 )
--- a/mapswitch/orders/numbergenerator.go
+++ b/mapswitch/orders/numbergenerator.go
@@ -21,11 +21,12 @@
 	// are equal.
 	saltBits = 16
 	// fenceRaiseFactor and fenceRaiseStep raise the fence above those that ranks have
-	// received: three attempts exceed four million of them.
+	// received: after four outranked attempts of a new process, the next fence exceeds four
+	// million.
 	fenceRaiseFactor, fenceRaiseStep = 16, 1000
-	// maxRaisedFence bounds how far the fence is raised: a version derived from a fence
-	// below it fits into 53 bits for groups of up to 512 ranks, which any reader of JSON
-	// reads exactly.
+	// maxRaisedFence bounds how far the fence is raised: for groups of up to 512 ranks, a
+	// version derived from a lower fence fits into 53 bits, so that any reader of JSON reads
+	// the version exactly.
 	maxRaisedFence Fence = 1 << 28
 )
 
--- a/mapswitch/orders/sending_test.go
+++ b/mapswitch/orders/sending_test.go
@@ -81,8 +81,8 @@
 	return version
 }
 
-// TestHoldRequiresFreshStates: a rank that has stopped responding cannot be armed, and the
-// group would stay held.
+// TestHoldRequiresFreshStates: the group must not be held while a rank does not respond: that
+// rank could not be armed, and the group would stay held.
 func TestHoldRequiresFreshStates(t *testing.T) {
 	ms := time.Millisecond
 	now := time.Unix(1_800_000_000, 0)
--- a/mapswitch/orders/steptimes.go
+++ b/mapswitch/orders/steptimes.go
@@ -3,8 +3,8 @@
 import "time"
 
 // stepTimes estimates the duration of the group's steps, so that a hold is placed only as
-// many steps ahead as arming needs: a map that waits for several steps of a group with a
-// slow rank corrects those steps seconds late.
+// many steps ahead as arming needs: where a slow rank makes steps long, a map that waits for
+// several of them corrects the load seconds late.
 type stepTimes struct {
 	latest   Step // highest step that a rank has reported
 	latestAt time.Time
@@ -19,8 +19,9 @@
 	// when many of them are lost.
 	holdLeadPerRedundantSend = 100 * time.Millisecond
 	// leadTolerance is the share of a step by which the lead may fall short of holdLead.
-	// The step that runs may then end before the hold arrives, and the attempt is repeated.
-	// A group whose steps last four times holdLead is thereby held at its next step.
+	// The current step may then end before the hold arrives, and the attempt is repeated.
+	// Without redundant sends, a group whose steps last more than five times holdLead is
+	// thereby held at its next step.
 	leadTolerance = 0.2
 	// stepTimeWeight is the weight of one more step in the mean.
 	stepTimeWeight = 0.3
--- a/mapswitch/orders/steptimes_test.go
+++ b/mapswitch/orders/steptimes_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestHoldLeadFollowsStepTime checks how many steps ahead a hold is placed: several where
-// steps are short, and one where they are long, so that a map that corrects slow steps is
-// not delayed by them.
+// steps are short, and one where they are long, so that slow steps do not delay the map
+// that corrects them.
 func TestHoldLeadFollowsStepTime(t *testing.T) {
 	ms := time.Millisecond
 	for _, tc := range []struct {
