--- a/experts/rebalance/large_test.go
+++ b/experts/rebalance/large_test.go
@@ -13,8 +13,9 @@
 	Ranks: 96, Layers: 16, Experts: 192, Slots: 3, Staging: 2, CopyTime: 18300 * time.Microsecond, ExpertShare: 0.85,
 }
 
-// largePlanner returns a planner whose plans copy for at most 150 ms, as in the default settings. Its map changes take
-// another 0.3 s: the time to distribute a map of 9 KB to 96 ranks over 6 Mbit/s.
+// largePlanner returns a planner whose plans copy for at most 150 ms, as in the default
+// settings. Its map changes take another 0.3 s: the time to distribute a map of 9 KB to 96
+// ranks over 6 Mbit/s.
 func largePlanner() rebalance.Planner {
 	return rebalance.Planner{
 		Shape: largeShape, Horizon: 2 * time.Second, CopySlowdown: 0.15, MaxCopies: 8, MinSaving: 0.08, Overhead: 300 * time.Millisecond,
--- a/experts/rebalance/planner.go
+++ b/experts/rebalance/planner.go
@@ -65,9 +65,9 @@
 // Plan is a map with its expected effect.
 type Plan struct {
 	Map Map
-	// SkewBefore and SkewAfter are the skews of the map passed to Plan and of its result: the load
-	// of the hottest rank of each layer, summed over the layers, divided by the same sum for
-	// evenly loaded ranks.
+	// SkewBefore and SkewAfter are the skews of the map passed to Plan and of its result: the
+	// load of the hottest rank of each layer, summed over the layers, divided by the same sum
+	// for evenly loaded ranks.
 	SkewBefore, SkewAfter float64
 	// CopyTime is the time until all ranks have copied their experts.
 	CopyTime time.Duration
--- a/experts/rebalance/skewbound.go
+++ b/experts/rebalance/skewbound.go
@@ -1,9 +1,9 @@
 package rebalance
 
-// SkewLowerBound returns the lowest skew that any map of the shape can have under the
-// load. The skew is the load of the hottest rank of each layer, summed over the layers,
-// divided by the same sum for evenly loaded ranks. It cannot reach 1 under every load, since an expert's tokens are split evenly over its copies, and the
-// number of slots is limited.
+// SkewLowerBound returns the lowest skew that any map of the shape can have under the load.
+// The skew is the load of the hottest rank of each layer, summed over the layers, divided
+// by the same sum for evenly loaded ranks. It cannot reach 1 under every load, since an
+// expert's tokens are split evenly over its copies, and the number of slots is limited.
 func SkewLowerBound(s Shape, load Load) float64 {
 	hot, even := 0.0, 0.0
 	for _, tokens := range load {
--- a/mapswitch/orders/doc.go
+++ b/mapswitch/orders/doc.go
@@ -26,8 +26,9 @@
 //
 // A late order is harmless for at least one of these reasons: its epoch is over; its
 // version is no longer the prepared one; its step has begun; or, where engines check
-// fences, its fence is lower than one received since. Safety depends neither on clocks, nor on the store, nor on
-// there being only one coordinator: two of them only make each other's attempts fail.
+// fences, its fence is lower than one received since. Safety depends neither on clocks,
+// nor on the store, nor on there being only one coordinator: two of them only make each
+// other's attempts fail.
 //
 // A Coordinator is a state machine without I/O.
 //
--- a/mapswitch/orders/observing.go
+++ b/mapswitch/orders/observing.go
@@ -6,12 +6,12 @@
 	// freshFor is how long a state counts as fresh after it was read. A hold is requested
 	// only while the states of all ranks are fresh: a rank that was reached a moment ago
 	// most likely receives the Arm, too, whereas a rank that stalls after the hold and
-	// before it responds to the Arm keeps the group held. One round of reads takes some ten milliseconds; where it takes longer
-	// (SetReadTime), states are fresh for two rounds.
+	// before it responds to the Arm keeps the group held. One round of reads takes some ten
+	// milliseconds; where it takes longer (SetReadTime), states are fresh for two rounds.
 	freshFor = 50 * time.Millisecond
-	// maxFreshFor bounds how long a state counts as fresh after slow reads. A rank whose box stalls after it was requested to copy must
-	// not count as fresh when the others have copied: it would keep its group held until
-	// the box resumes.
+	// maxFreshFor bounds how long a state counts as fresh after slow reads. A rank whose
+	// box stalls after it was requested to copy must not count as fresh when the others
+	// have copied: it would keep its group held until the box resumes.
 	maxFreshFor = 150 * time.Millisecond
 )
 
