--- a/experts/rebalance/planner.go
+++ b/experts/rebalance/planner.go
@@ -48,10 +48,10 @@
 }
 
 // steepSkew is the skew above which a plan copies no longer than the overhead of its map
-// change, except that each rank may always copy one expert. Each further copy slows down steps that are
-// long already, and takes effect only with the whole plan; the first copies remove most of
-// the skew, and the next plan does the rest. Where distributing a map takes much longer than
-// a copy, one copy per rank would need many map changes in place of one.
+// change, except that each rank may always copy one expert. Each further copy slows down
+// steps that are long already, and takes effect only with the whole plan; the first copies
+// remove most of the skew, and the next plan does the rest. Where distributing a map takes
+// much longer than a copy, one copy per rank would need many map changes in place of one.
 const steepSkew = 2
 
 // copyLimit returns the highest number of copies of one rank in a plan made at the skew.
