--- a/mapswitch/orders/orphan.go
+++ b/mapswitch/orders/orphan.go
@@ -28,9 +28,9 @@
 }
 
 // recoverOrphan aborts the attempt of a lost process that left a hold behind. Before
-// anything else, the coordinator holds the same step at its own rank, so that the group stays held
-// until the end of the abort, whatever becomes of the orphaned hold. It does not complete
-// the map change of the other process, which may still be running.
+// anything else, the coordinator holds the same step at its own rank, so that the group
+// stays held until the end of the abort, whatever becomes of the orphaned hold. It does not
+// complete the map change of the other process, which may still be running.
 func (c *Coordinator) recoverOrphan(now time.Time) {
 	step, found := c.lowestOrphan(now)
 	if !found || !c.allRead() || c.current == nil {
--- a/mapswitch/orders/standby.go
+++ b/mapswitch/orders/standby.go
@@ -7,8 +7,8 @@
 	// preceding rank: the time of a round of reads, after which a rank has received a read
 	// from the preceding rank if that rank coordinates.
 	standbyStep = 50 * time.Millisecond
-	// standbySteps is the number of ranks with a delay of standbyStep. It is unlikely that all of them
-	// fail at once, so each later rank adds only laterStandbyStep.
+	// standbySteps is the number of ranks with a delay of standbyStep. It is unlikely that
+	// all of them fail at once, so each later rank adds only laterStandbyStep.
 	standbySteps     = 10
 	laterStandbyStep = 8 * time.Millisecond
 )
