--- a/membership/boxes.go
+++ b/membership/boxes.go
@@ -60,8 +60,9 @@
 
 // Times of Boxes.
 const (
-	// BoundSharerTimeout is how long after its last report a box still counts among those that
-	// share a bound. It is long because an isolated box goes on spending its share.
+	// BoundSharerTimeout is how long after the last message that any box received from it a box
+	// still counts among those that share a bound. It is long because an isolated box goes on
+	// spending its share.
 	BoundSharerTimeout = 20 * time.Second
 	// ReachableFor is how long after its own last report a box counts as reachable: a few
 	// rounds of adverts.
@@ -104,8 +105,8 @@
 	return 0
 }
 
-// ReceiveIndirect records the report of another box that it received a message from the box of
-// the contact the given time ago.
+// ReceiveIndirect records that, as another box reports, the box c sent that other box a message
+// the given time ago.
 func (b *Boxes) ReceiveIndirect(now time.Time, c Contact, ago time.Duration) {
 	p := b.peer(now, c)
 	if p == nil || ago < 0 || c.Incarnation < p.contact.Incarnation {
@@ -163,8 +164,8 @@
 	return boxes, position
 }
 
-// OtherHalls reports whether boxes of other data halls are known, and when one of them
-// last reported itself.
+// OtherHalls reports whether any box of another data hall has reported itself within
+// BoundSharerTimeout, and the time of the last such report.
 func (b *Boxes) OtherHalls(now time.Time, hall domain.HallName) (known bool, last time.Time) {
 	for _, p := range b.boxes {
 		if p.hall == "" || p.hall == hall || now.Sub(p.ownReportAt) > BoundSharerTimeout {
@@ -197,11 +198,11 @@
 	return list[:min(limit, len(list))]
 }
 
-// PeersToAdvertise returns recently seen boxes with the time since then: up to limit boxes in
-// all, of which up to maxOld, chosen at random, are not new. New boxes are listed because other
-// boxes may not have their addresses yet, and a few of the rest so that all boxes see them as
-// alive. Other boxes receive them from many peers, and adverts that listed all boxes would be
-// half of the bytes between halls.
+// PeersToAdvertise returns recently seen boxes, each with the time since its last message: up to
+// limit boxes in all, of which up to maxOld, chosen at random, are not new. New boxes are listed
+// because other boxes may not have their addresses yet, and a few older ones so that all boxes see
+// them as alive. A few suffice, since each box receives adverts from many peers; adverts that listed
+// all boxes would be half of the bytes between halls.
 func (b *Boxes) PeersToAdvertise(now time.Time, limit, maxOld int) map[Contact]time.Duration {
 	list := map[Contact]time.Duration{}
 	old := 0
@@ -260,8 +261,8 @@
 }
 
 // InHall returns the recently seen boxes of the data hall that are not leaving, in random
-// order. Boxes of other halls seldom send reports to each other directly, so the report of
-// another box counts here, for twice as long as a box's own.
+// order. Boxes of different halls seldom send adverts to each other directly, so a message that
+// another box received counts too, and counts for twice ReachableFor.
 func (b *Boxes) InHall(now time.Time, hall domain.HallName) []Contact {
 	var list []Contact
 	for _, c := range b.Sample(now, len(b.boxes)) {
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,7 +1,7 @@
-// Package membership holds which targets may get new work, which other entry boxes there are,
-// and from which boxes the status of targets is requested.
+// Package membership tracks which targets may get new work and which other entry boxes exist, and
+// selects the boxes from which the status of targets is requested.
 //
-// A Roster merges the platform's list of targets, the updates of it from other boxes, the reports
+// A Roster merges the platform's list of targets, updates of that list from other boxes, the reports
 // of targets about themselves, and the outcomes of attempts into a standing of each target. Boxes
 // is the table of the other entry boxes; HallReporters selects the box to query about each other
 // data hall. None of them does I/O or reads a clock.
--- a/membership/failure_reports.go
+++ b/membership/failure_reports.go
@@ -12,9 +12,9 @@
 // other.
 //
 // Where dozens of boxes share dozens of targets, no box sends enough requests to one target to
-// detect its failure alone: each box meets the target once in many seconds. All boxes together
-// meet it several times a second, and a rank that answers no requests is out of use soon after
-// the first box has waited for it in vain.
+// detect its failure alone: each box sends the target one request in many seconds. All boxes
+// together send it several a second, so a rank that answers no requests is ejected soon after the
+// first request to it has timed out.
 //
 // It is not safe for concurrent use.
 type FailureReports struct {
@@ -31,7 +31,7 @@
 
 const (
 	// failureReportTTL is how long a failure report counts: a target that fails every request, and
-	// gets a few requests a second, meets several boxes in that time.
+	// gets a few requests a second, fails requests of several boxes in that time.
 	failureReportTTL = 2 * time.Second
 	// reportersNeeded is the number of boxes that must report failures of a target to eject it.
 	// Two reports coincide within failureReportTTL by chance where some requests fail everywhere.
@@ -40,7 +40,7 @@
 	// boxes: more would have no effect there.
 	maxReportsPerTarget = reportersNeeded
 	// maxReportsPerMessage is the number of failure reports in one message, the latest ones: enough
-	// for an eighth of a hundred targets, in a kilobyte.
+	// for an eighth of a hundred targets with maxReportsPerTarget each, in a kilobyte.
 	maxReportsPerMessage = 40
 	// maxReportedShare is the share of a service's targets up to which reported targets are
 	// ejected. If more are reported, the targets have a common fault, for example that their group
--- a/membership/groups.go
+++ b/membership/groups.go
@@ -34,8 +34,8 @@
 
 // groupView combines the reports of the ranks of a group.
 type groupView struct {
-	formedEpoch   uint64    // the latest epoch of a rank by its report or the list
-	broken        bool      // a rank in formedEpoch reports that the group is not open
+	formedEpoch   uint64    // the latest epoch in which a rank is reported or listed
+	broken        bool      // a rank is reported or listed as not open in formedEpoch
 	stalled       bool      // a rank has not reported a new step for StallAfter although it had work
 	epoch         uint64    // the latest epoch that a rank reported
 	step          uint64    // the last step reported in epoch
@@ -43,8 +43,8 @@
 	unreachableAt time.Time // when a rank was last found unreachable
 }
 
-// standing returns the standing of the group's ranks. A group of which a rank is unreachable may
-// have lost that rank, until a later step of the group is reported. Ranks step together, so a
+// standing returns the standing of the group's ranks. If a rank is unreachable, it may be lost, so
+// the group is suspect until a rank reports a later step. Ranks step together, so a
 // group of which any rank has recently reported a new step does not stall, however old the
 // reports of the other ranks are.
 func (g *groupView) standing(now time.Time, p RosterPolicy) Standing {
@@ -106,9 +106,9 @@
 }
 
 // addRank adds the formation and state of one rank. A group opens with all of its ranks, so a
-// rank's last report about an earlier formation does not count against the present one: a box
-// seldom receives reports of the ranks of other halls, and would refuse its callers until it had
-// the last of them.
+// rank's last report about an earlier formation does not count against the present one. A box
+// seldom receives reports of the ranks of other halls, and would otherwise refuse its callers until
+// every rank had reported the present formation.
 func (g *groupView) addRank(p domain.Rank) {
 	switch {
 	case p.Epoch > g.formedEpoch:
--- a/membership/health.go
+++ b/membership/health.go
@@ -62,8 +62,8 @@
 
 func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// probation is how long a target is on probation after it was ejected for reported failures:
-// several times as long as a box that uses it again needs to find that it still fails.
+// probation is how long a target is on probation after an ejection for reported failures: several
+// times as long as a box that uses the target again needs to detect that the target still fails.
 const probation = 5 * time.Second
 
 // ejectReported ejects a target of which several boxes report failures.
@@ -77,9 +77,9 @@
 
 func (h *health) onProbation(now time.Time) bool { return now.Before(h.probationUntil) }
 
-// markFull records that the target rejected an attempt for lack of capacity. The first rejection
-// has an effect already: a target that rejects all attempts has none open, and would attract the
-// load.
+// markFull records that the target rejected an attempt for lack of capacity. A single rejection
+// takes effect: a target that rejects all attempts has no open requests, so it would seem idle and
+// attract the load.
 func (h *health) markFull(now time.Time, p RosterPolicy) {
 	if h.full(now) {
 		return // attempts that were under way at the first rejection give no new information
--- a/membership/incarnation.go
+++ b/membership/incarnation.go
@@ -5,8 +5,9 @@
 // IncarnationTracker chooses the incarnation of this box's process, so that it is higher than
 // those of earlier processes of the box. A process begins with the lowest incarnation, and takes
 // the one after the latest that other boxes have recorded as soon as one of them responds. The
-// clock is not used: a box whose clock was set back between two processes would appear older than
-// its earlier process to all others, and its reports would be ignored for as long.
+// clock is not used: if the clock of a box was set back between two processes, the later process
+// would appear older than the earlier one, and other boxes would ignore its reports until the clock
+// had caught up.
 type IncarnationTracker struct {
 	incarnation domain.Incarnation
 	answered    bool // another box has responded, and so has this process on record
--- a/membership/issuers.go
+++ b/membership/issuers.go
@@ -15,9 +15,9 @@
 // not have the other boxes in its table yet.
 
 const (
-	// issuerTimeout is how long after the last message received from it, directly or through
-	// others, a box may be an issuer: about as long as others use their fallback shares when it
-	// has ended.
+	// issuerTimeout is how long a box may be an issuer after the last message that this or another
+	// box received from it. When an issuer ends, the other boxes use their fallback shares for
+	// about that long.
 	issuerTimeout = 2 * ReachableFor
 	// issuerTimeoutPerBox raises the timeout for each box in the table: the more boxes, the more
 	// seldom each of them is reported.
--- a/membership/restored.go
+++ b/membership/restored.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// fromRestore reports whether the update is of the first list after a restore, and the entry from
-// before the restore. The list may then be as old as the backup.
+// fromRestore reports whether the update comes from the first list after a restore while the entry
+// dates from before the restore. The list may then be as old as the backup.
 func (r *Roster) fromRestore(e *entry, u TargetUpdate) bool {
 	return u.At.Era() > e.lastChange.Era() && !e.lastChange.IsZero() && !u.At.After(r.restorePosition)
 }
--- a/membership/target_requests.go
+++ b/membership/target_requests.go
@@ -8,15 +8,15 @@
 )
 
 // Targets request rest and report that they are leaving in their responses to this box. Both hold
-// for the instance that sent them, whatever the list has: the list lags behind, and does not show
-// which boxes a target asked for rest.
+// for the instance that sent them, whatever the store's list states: the list lags behind, and does
+// not show which boxes a target asked for rest.
 
 // RestRequested records that the target requests no work from this box until the given time. Of
 // several times the latest counts: an earlier one may arrive later with the response to a request
 // that was under way.
 //
-// A target that rejects all requests has none open and seems to have the most capacity, so that
-// without this it would attract the load.
+// A target that rejects all requests has no open ones and seems to have the most capacity, so it
+// would attract the load if its request for rest were not recorded.
 func (r *Roster) RestRequested(id domain.InstanceID, until time.Time) {
 	if e, ok := r.lookup(id); ok && until.After(e.restUntil) {
 		e.restUntil = until
@@ -24,7 +24,8 @@
 }
 
 // LeavingReported records the target's report, to this box or to another, that it is leaving. It
-// returns true if the target was ready until now: the list or another report may have come before.
+// returns true if the target was ready until now, and false if the list or an earlier report has
+// already shown that it is leaving.
 func (r *Roster) LeavingReported(now time.Time, id domain.InstanceID) bool {
 	e, ok := r.lookup(id)
 	if !ok || !e.leavingAt.IsZero() {
--- a/mesh/messages.go
+++ b/mesh/messages.go
@@ -91,7 +91,7 @@
 	_      struct{} `cbor:",toarray"`
 	Digest call.Digest
 	Target domain.InstanceID // empty if the work was served
-	Age    time.Duration     // of the observation when the message is sent
+	Age    time.Duration     // time from the observation until this message was sent
 }
 
 // FailureReport reports that a target failed a request of a box. An advert contains up to a few
@@ -100,7 +100,7 @@
 	_      struct{} `cbor:",toarray"`
 	Target domain.InstanceID
 	By     domain.BoxID  // the box whose request failed
-	Age    time.Duration // of the failure when the message is sent
+	Age    time.Duration // time from the failure until this message was sent
 }
 
 // PullQuery states which data the requesting box has.
@@ -162,8 +162,8 @@
 
 // HallQuery requests the status of the targets that an entry box queries itself.
 type HallQuery struct {
-	// All requests also the status of targets that the box received from other boxes, of other
-	// data halls too.
+	// All also requests the status of targets that the box received from other boxes, including
+	// targets of other data halls.
 	All bool `json:"all,omitempty"`
 }
 
@@ -187,7 +187,8 @@
 	Step             orders.Step
 	Running, Waiting int
 	Slowdown         float32
-	// BoxUnresponsive reports that the target's box has not responded since.
+	// BoxUnresponsive reports that the target's box has not responded since the receipt of the
+	// status.
 	BoxUnresponsive bool
 }
 
@@ -255,8 +256,8 @@
 	Fence   orders.Fence    `json:"fence"`
 	Prepare *orders.Prepare `json:"prepare,omitempty"`
 	// Base is the version of a map that the agent received before; 0 if the order contains the
-	// whole map. Otherwise the order to prepare comes without its map, and Rows are the rows that
-	// differ from the base.
+	// whole map. Otherwise Prepare is sent without its map, and Rows are the rows that differ from
+	// the base.
 	Base    orders.Version  `json:"base,omitempty"`
 	Rows    []orders.Row    `json:"rows,omitempty"`
 	Arm     *orders.Arm     `json:"arm,omitempty"`
--- a/mesh/permits.go
+++ b/mesh/permits.go
@@ -52,8 +52,8 @@
 	UsesFallback, Settled bool
 }
 
-// PermitQuery requests permits from the issuer of the service, for the first of the targets in Limits
-// that has any.
+// PermitQuery requests permits from the issuer of the service, for the first target in Limits for
+// which permits are available.
 type PermitQuery struct {
 	Service domain.ServiceName `json:"service"`
 	// Limits are the limits of the targets that the requesting box has received, in order of
@@ -74,7 +74,7 @@
 type PermitTurn struct {
 	_      struct{} `cbor:",toarray"`
 	Target domain.InstanceID
-	Wait   time.Duration // from the sending of the message
+	Wait   time.Duration // time from the sending of this message until the turn
 }
 
 // NewPermitReply encodes a grant in a message that is sent at now.
--- a/mesh/relay.go
+++ b/mesh/relay.go
@@ -7,8 +7,8 @@
 )
 
 // The coordinator of a large group reads ranks and sends orders through some relays, each of which
-// calls some ranks and reports for them. So neither the coordinator's link nor its processor carries a
-// call for every rank.
+// calls some of the ranks and returns their results. So neither the coordinator's network link nor its
+// processor has to handle a call for every rank.
 
 // GatherQuery has an agent read ranks of its group.
 type GatherQuery struct {
@@ -41,7 +41,7 @@
 	Experts       [][]int // of the map in use, by layer; only if requested
 }
 
-// NewRankStatus returns the status in a report, for a message that contains many.
+// NewRankStatus converts a report to the compact form that a GatherReply contains.
 func NewRankStatus(rank int, r *RankReport) RankStatus {
 	s := r.State
 	out := RankStatus{
--- a/store/feed.go
+++ b/store/feed.go
@@ -27,7 +27,7 @@
 type Revision uint64
 
 // Era numbers the periods between restores of the store. It increases by one with each restore from a
-// backup, after which revisions are issued a second time. Zero stands for an era that is not stated.
+// backup, after which revision numbers are issued a second time. Zero stands for an unknown era.
 type Era uint64
 
 // Kind names a kind of record.
@@ -37,8 +37,8 @@
 
 // The errors of a Feed. Any other error is a fault of the adapter.
 var (
-	// ErrHistoryLost reports that the store no longer has the changes since a revision; the
-	// kind must be listed again.
+	// ErrHistoryLost reports that the store no longer has all changes since the position of a
+	// watch; the kind must be listed again.
 	ErrHistoryLost = class.New("history lost")
 	// ErrUnavailable reports that the store cannot be reached, or rejects the call.
 	ErrUnavailable = class.New("unavailable")
--- a/store/follow/follower.go
+++ b/store/follow/follower.go
@@ -54,7 +54,7 @@
 	rand      *rand.Rand
 	boxes     int  // number of boxes that notify each other of changes, this one included
 	index     int  // position of this box in the order of these boxes, from 0
-	stagger   bool // the next watch starts together with those of other boxes, so that its end is to be staggered
+	stagger   bool // the next watch starts at the same time as those of other boxes, so its wait must be staggered
 	started   bool // the start delay was drawn
 	delegated bool // another box follows the store for this one
 	listed    bool // the records up to position are known; watches can go on from there
@@ -144,9 +144,9 @@
 // peers. It is more than one, since some of the boxes may be cut off from the others.
 const boxesPerWatch = 4
 
-// WaitFor returns the maximum wait of a watch if that many boxes watch. It grows with their number, so
-// that the rate of calls of all together does not: the one that notices a dropped watch notifies the
-// others.
+// WaitFor returns the maximum wait of a watch if the given number of boxes watch. The wait grows with
+// the number of boxes, so that their total rate of calls does not. If watches were silently dropped,
+// the first box that watches again notifies the others of the changes.
 func (t Timing) WaitFor(boxes int) time.Duration {
 	w := t.Wait * time.Duration(boxes) / boxesPerWatch
 	return min(max(w, t.Wait), max(t.MaxWait, t.Wait))
@@ -168,7 +168,7 @@
 // turn returns the turn of the box among all boxes. Neighbours in the order of names, which are often
 // in one data hall and become isolated together, get turns far from each other.
 func (f *Follower) turn() int {
-	const golden = 0.618 // fraction of a round: steps of the golden ratio leave the most even gaps
+	const golden = 0.618 // multiples of the golden ratio, modulo 1, leave the most even gaps
 	stride := max(1, int(golden*float64(f.boxes)))
 	for gcd(stride, f.boxes) != 1 {
 		stride++
@@ -199,7 +199,7 @@
 	failures := f.failures
 	f.succeed(now)
 	if f.relisted {
-		f.failures = failures // the next watch, from the listed position, may be refused again
+		f.failures = failures // the next watch, from the listed position, may find its history lost again
 	}
 }
 
@@ -222,8 +222,9 @@
 	}
 }
 
-// loseHistory makes the follower list again, at once unless it has just listed for the same reason: a
-// store that has no history since a listing of a moment ago is in trouble.
+// loseHistory makes the follower list again: at once, unless it has just listed for the same reason.
+// A store that has already lost the changes since a recent listing is failing, so the follower pauses
+// first.
 func (f *Follower) loseHistory(now time.Time) {
 	f.listed, f.lostHistory = false, true
 	if f.relisted {
@@ -253,9 +254,9 @@
 	f.pausedUntil = now.Add(f.timing.ChangePause)
 }
 
-// CaughtUpFromPeers records that peers have sent all records that the store held at the position;
-// zero if none did. They do not replace a history that the store lost within an era, since their
-// records may be as old.
+// CaughtUpFromPeers records that peers have sent all records that the store held at the position; the
+// position is zero if no peer has. After the store has lost history within an era, records from peers
+// do not replace a listing, since they may be as old as this box's own.
 func (f *Follower) CaughtUpFromPeers(now time.Time, at store.Position) {
 	if !at.IsZero() && (!f.lostHistory || at.Era() > f.position.Era()) {
 		f.listed, f.lostHistory = true, false
--- a/transport/exchange.go
+++ b/transport/exchange.go
@@ -11,8 +11,8 @@
 	"clovertrail.dev/core/clock"
 )
 
-// Exchange is one request and its response over one connection. Only one goroutine may use it; another
-// may end the context given to CloseWhenDone.
+// Exchange is one request and its response over one connection. It is not safe for concurrent use,
+// except that another goroutine may cancel the context passed to CloseWhenDone.
 type Exchange struct {
 	pool        *Pool
 	conn        *conn
@@ -109,8 +109,8 @@
 	return n, err
 }
 
-// Close does nothing, since the exchange closes the connection. Close of the body of net/http would read
-// the rest of the body first, which may take long on a stream.
+// Close does nothing, since Exchange.Close releases the connection. The Close method of a net/http body
+// would first read the rest of the body, which may take long on a stream.
 func (b *trackedBody) Close() error { return nil }
 
 // Buffered returns the number of bytes of the response that were received but not yet read.
--- a/transport/pool.go
+++ b/transport/pool.go
@@ -122,7 +122,7 @@
 }
 
 // put adds the connection to the idle ones until the given time; it closes the connection if there are
-// too many.
+// already MaxIdlePerTarget of them.
 func (p *Pool) put(c *conn, until time.Time) {
 	c.idleUntil = until
 	p.mu.Lock()
--- a/transport/process_check.go
+++ b/transport/process_check.go
@@ -11,11 +11,12 @@
 
 const (
 	// processCheckTimeout bounds a process check. On a working link a connection opens or is refused
-	// within some milliseconds, and an attempt to be repeated waits for the result.
+	// within some milliseconds, and an attempt that may be repeated waits for the result.
 	processCheckTimeout = 100 * time.Millisecond
 	// endedResultValidFor and aliveResultValidFor are how long a result is shared with further
-	// checks. When a target ends, or cuts off all its work, all its connections break at once. A
-	// target that is alive may end right after the check.
+	// checks. When a target ends or closes all its connections, many requests fail and check it at
+	// once. The result of a live target is shared for less time, since the target may end right
+	// after the check.
 	endedResultValidFor = 250 * time.Millisecond
 	aliveResultValidFor = 20 * time.Millisecond
 )
@@ -27,8 +28,8 @@
 	validUntil time.Time // zero while the check runs
 }
 
-// ProcessEnded reports whether the process at the address has ended, which shows in its box refusing
-// connections. A process that closes connections but still listens has not ended, and if the box does
+// ProcessEnded reports whether the process at the address has ended: its box then refuses connections.
+// A process that closes connections but still listens has not ended, and if the box does
 // not respond at all, the result is false. A cut network path may refuse connections too, so the
 // witness, the address of another process reached by the same path, must accept a connection. With an
 // empty witness, a refusal alone counts. A connection that opens at the address is pooled for the next
