--- a/membership/failure_reports_test.go
+++ b/membership/failure_reports_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// fleetOf simulates boxes that share the ranks of a group, of which the first few hang, and counts
-// the requests sent to those.
+// fleetOf simulates boxes that share the ranks of a group. The first few ranks hang; the simulation
+// counts the requests sent to them.
 type fleetOf struct {
 	boxes, ranks, hanging int
 	perSecond             int
@@ -192,8 +192,8 @@
 
 // TestExchangedFailureReportsFindHangingTargets guards against hanging targets that stay in use
 // because no box sends enough requests to one of them to detect it alone. An eighth of 63 ranks
-// hang for 7 s while 38 boxes send 224 requests a second, which is one in ten seconds from a box
-// to a rank. The numbers are those of a fleet of a hundred boxes at its usual load; a wait of
+// hang for 7 s while 38 boxes send 224 requests a second: each box sends each rank one request in
+// ten seconds. The numbers are those of a fleet of a hundred boxes at its usual load; a wait of
 // 0.6 s is one and a half times the time within which callers expect responses.
 func TestExchangedFailureReportsFindHangingTargets(t *testing.T) {
 	f := fleetOf{boxes: 38, ranks: 63, hanging: 8, perSecond: 224}
--- a/membership/groups_test.go
+++ b/membership/groups_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestGroupStandingFollowsLatestFormation: a group of four ranks was down in epoch 1 and is formed
-// anew; a box receives that rank by rank. Reports from the earlier formation must not keep the
+// anew; a box receives reports of the new formation rank by rank. Reports from the earlier formation must not keep the
 // group unfit.
 func TestGroupStandingFollowsLatestFormation(t *testing.T) {
 	const ranks = 4
--- a/membership/hall_reporters_test.go
+++ b/membership/hall_reporters_test.go
@@ -90,7 +90,8 @@
 }
 
 // TestFollowersRelyOnTheirHubs covers one of thirty boxes of a hall, whose hub reports on all
-// halls four times a second until it fails. All followers must not query all targets at once then.
+// halls four times a second until it fails. After the failure, the followers must not all query all
+// targets at once.
 func TestFollowersRelyOnTheirHubs(t *testing.T) {
 	ms := time.Millisecond
 	for _, tt := range []struct {
--- a/membership/hubs_test.go
+++ b/membership/hubs_test.go
@@ -8,7 +8,7 @@
 	"clovertrail.dev/membership"
 )
 
-// hallOf returns a hall of so many boxes, without the one of the given number.
+// hallOf returns the boxes numbered from 0 to boxes-1, except the one numbered without.
 func hallOf(boxes, without int) []membership.Contact {
 	var list []membership.Contact
 	for i := range boxes {
--- a/membership/issuers_test.go
+++ b/membership/issuers_test.go
@@ -26,7 +26,8 @@
 	return h
 }
 
-// exchange delivers the reports of all boxes but the silent one to each other; one is leaving.
+// exchange delivers the reports of all boxes but the silent one to the other boxes. The box leaving
+// reports that it is leaving.
 func (h *hall) exchange(now time.Time, silent, leaving domain.BoxID) {
 	for i, b := range h.boxes {
 		b.Sample(now, 0)
@@ -74,7 +75,8 @@
 	}
 }
 
-// TestStartingBoxFindsIssuerAtOnce: the others report that they have run long enough.
+// TestStartingBoxFindsIssuerAtOnce: a box that has just started chooses the same issuer as the others,
+// since they report that they have run long enough.
 func TestStartingBoxFindsIssuerAtOnce(t *testing.T) {
 	h, now := newHall(t, 7), time.Unix(1000, 0)
 	h.exchange(now, "", "")
--- a/membership/rejected_test.go
+++ b/membership/rejected_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestRejectionsInARowDoubleTheSuspectTime: each further rejection in a row doubles the time for
-// which a target is suspect, rejections of attempts that were under way in the meantime do not,
-// and a served attempt resets it.
+// which a target is suspect. Rejections of attempts that were already under way do not double the
+// time, and a served attempt resets it.
 func TestRejectionsInARowDoubleTheSuspectTime(t *testing.T) {
 	const first, longest = 250 * time.Millisecond, 4 * time.Second
 	r := newRoster()
--- a/membership/restored_test.go
+++ b/membership/restored_test.go
@@ -9,7 +9,7 @@
 	"clovertrail.dev/store"
 )
 
-// in moves the update into the era.
+// in returns the update with its position moved into the era.
 func in(era store.Era, u membership.TargetUpdate) membership.TargetUpdate {
 	u.At = store.PositionOf(era, u.At.Revision())
 	return u
@@ -108,8 +108,8 @@
 	return out
 }
 
-// TestSecondRestoreDoesNotReviveTargets guards against entries of the first restored list that
-// count as later changes because of a second restore.
+// TestSecondRestoreDoesNotReviveTargets guards against a second restore after which entries of the
+// first restored list count as later changes.
 func TestSecondRestoreDoesNotReviveTargets(t *testing.T) {
 	r := newRoster()
 	r.ApplyList(start, pos(60), []membership.TargetUpdate{ready("running", 20), ready("left", 30)})
--- a/mesh/fuzz_test.go
+++ b/mesh/fuzz_test.go
@@ -61,7 +61,7 @@
 	})
 }
 
-// checkLimits verifies that no limit is accepted that no target can announce.
+// checkLimits verifies that only limits which a target can announce are accepted.
 func checkLimits(t *testing.T, raw []byte) {
 	var query mesh.PermitQuery
 	if cbor.Unmarshal(raw, &query) != nil {
--- a/store/follow/follower_test.go
+++ b/store/follow/follower_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// newFleet returns the followers of that many boxes, which have all just observed the same change.
+// newFleet returns the followers of the given number of boxes, which have all just observed the same change.
 func newFleet(boxes int) []*follow.Follower {
 	list := make([]*follow.Follower, boxes)
 	for i := range list {
@@ -202,8 +202,8 @@
 	}
 }
 
-// TestPeersDoNotReplaceLostHistory guards against going on from the records of peers, which may be as
-// old, after the store lost its history.
+// TestPeersDoNotReplaceLostHistory guards against going on from the records of peers after the store
+// lost its history: these records may be as old as the box's own.
 func TestPeersDoNotReplaceLostHistory(t *testing.T) {
 	f := follow.New(timing, rand.New(rand.NewPCG(3, 4)))
 	f.Listed(start, pos(5), nil)
@@ -217,9 +217,9 @@
 // pos returns the position of the revision in the first era.
 func pos(rev store.Revision) store.Position { return store.PositionOf(1, rev) }
 
-// TestFollowerRelistsInLaterEra guards against watches that go on from a revision of before a restore
-// of the store, and so miss what the store lost, and what was written to it until it passed that
-// revision again.
+// TestFollowerRelistsInLaterEra guards against watches that go on, after a restore of the store, from a
+// revision of before the restore. They would miss what the store lost in the restore, and what was
+// written to it until it passed that revision again.
 func TestFollowerRelistsInLaterEra(t *testing.T) {
 	later := store.PositionOf(2, 50)
 	tests := []struct {
@@ -291,7 +291,8 @@
 	}
 }
 
-// TestRepeatedHistoryLossBacksOff guards against listings and refused watches in turn without a pause.
+// TestRepeatedHistoryLossBacksOff guards against listings that alternate with watches whose history is
+// lost, without a pause between them.
 func TestRepeatedHistoryLossBacksOff(t *testing.T) {
 	f := newFollower()
 	f.Listed(start, pos(40), nil)
@@ -314,8 +315,8 @@
 	}
 }
 
-// TestFollowerRelistsAfterRestore guards against entries of the backup that nobody writes again, and
-// that the box keeps as it received them at the restore.
+// TestFollowerRelistsAfterRestore guards against a box that keeps entries of the backup, as received at
+// the restore, although nobody has written them again and they have lapsed in the store.
 func TestFollowerRelistsAfterRestore(t *testing.T) {
 	withRelist := timing
 	withRelist.RelistDelay = 5 * time.Second
--- a/transport/process_check_test.go
+++ b/transport/process_check_test.go
@@ -90,8 +90,8 @@
 	})
 }
 
-// All requests to a target break off when it ends. They share one check, and the next request uses a
-// connection that the check opened.
+// When a target closes all its connections, all requests to it break off. They share one check, and if
+// the process still listens, the next request uses the connection that the check opened.
 func TestConcurrentProcessChecksShareOneConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dials atomic.Int32
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -264,7 +264,8 @@
 }
 
 // waitClosed opens and closes exchanges until one has a new connection, so that the pool has no idle
-// connection to the address left. An exchange without a response closes its connection, also a reused one.
+// connection to the address left. Closing an exchange without a response closes its connection, also if
+// the connection was reused.
 func waitClosed(t *testing.T, pool *transport.Pool, address string) {
 	t.Helper()
 	for {
