--- a/admission/gate.go
+++ b/admission/gate.go
@@ -6,8 +6,9 @@
 // would wait too long to be answered in time only makes others wait too. If it is refused
 // immediately, its caller can retry when there is capacity.
 //
-// A caller that retries after a refusal has less time left than a caller with a first try, and takes
-// precedence: first tries leave a part of the waiting time to retries.
+// A caller that retries after a refusal has less time left than a caller that tries for the first time.
+// Retries therefore take precedence: they may wait for as long as the latency objective permits, and
+// first tries only for a share of that time.
 type Gate struct {
 	longest map[string]time.Duration // by route: the longest time to the deadline of any caller
 }
@@ -23,22 +24,23 @@
 }
 
 const (
-	// firstTryShare is the share of the waiting time that first tries may use.
+	// firstTryShare is the longest wait of a first try, as a share of the longest wait that meets the
+	// latency objective.
 	firstTryShare = 0.6
-	// retryBelow is the share of the longest time to the deadline on a route below which a request
-	// counts as a retry.
+	// A request counts as a retry if its time to the deadline is less than retryBelow times the
+	// longest such time on its route.
 	retryBelow = 0.9
 	// maxRetryAfterShare is the largest retry-after that callers honour, as a share of their time to the
 	// deadline.
 	maxRetryAfterShare = 1.0 / 3
-	// overloadSpread and outageSpread are the last part of the time up to maxRetryAfterShare over which
-	// retries are spread.
+	// Retries are spread over the end of the time that callers honour (maxRetryAfterShare).
+	// overloadSpread and outageSpread are the length of that end, as a share of the whole time.
 	overloadSpread, outageSpread = 0.5, 0.0625
 	// minRetryAfter is the shortest time after which a refused caller should retry.
 	minRetryAfter = 100 * time.Millisecond
-	// reopenSpread is the time over which retries are spread once a target takes requests again: a
-	// few requests of a usual target, so that the callers refused in the meantime do not all arrive
-	// at once.
+	// reopenSpread is the time over which retries are spread once a target takes requests again, so
+	// that the callers refused in the meantime do not all arrive at once. It is the duration of a few
+	// requests at a usual target.
 	reopenSpread = 250 * time.Millisecond
 )
 
@@ -63,9 +65,9 @@
 	return false, RetryAfterOverload(r.Remaining, spread)
 }
 
-// RetryAfterOverload returns after how long a caller should retry that was refused for lack of
-// capacity: spread over the latter half of the time that callers honour, so that callers that arrived
-// together use capacity as it becomes available.
+// RetryAfterOverload returns after how long a caller that was refused for lack of capacity should
+// retry. Retries are spread over the latter half of the time that callers honour, so that callers that
+// arrived together use capacity as it becomes available.
 func RetryAfterOverload(remaining time.Duration, spread float64) time.Duration {
 	return lateRetryAfter(remaining, spread, overloadSpread)
 }
@@ -89,8 +91,8 @@
 }
 
 // RetryAfterPermits returns after how long a refused caller should retry if permits become available
-// one by one after the time from: evenly spread between from and the longest time that callers
-// honour, so that callers arrive as permits do.
+// one by one, the first of them after from. Retries are spread evenly between from and the longest time
+// that callers honour, so that callers arrive at the rate at which permits become available.
 func RetryAfterPermits(from, remaining time.Duration, spread float64) time.Duration {
 	from = max(from, minRetryAfter)
 	most := time.Duration(float64(remaining) * maxRetryAfterShare)
--- a/ratelimit/allocator.go
+++ b/ratelimit/allocator.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// An issuer that did not reply is not sent requests for minBackoff. Each further failure doubles
-	// that time, up to maxBackoff.
+	// No requests are sent to an issuer for minBackoff after it did not reply. Each further failure
+	// doubles that time, up to maxBackoff.
 	minBackoff, maxBackoff = time.Second, 8 * time.Second
 	maxDoublings           = 3
-	// declineBackoff is how long no requests are sent to a box that replied that it is not the issuer:
-	// two boxes disagree about the issuer no longer than updates take to arrive.
+	// declineBackoff is how long no requests are sent to a box that replied that it is not the issuer.
+	// It is short, because two boxes disagree about the issuer only until both have received the same
+	// updates.
 	declineBackoff = 200 * time.Millisecond
-	// fallbackReported is how long a box reports that it uses its fallback share after it last did:
-	// a few rounds in which boxes notify each other of it.
+	// fallbackReported is how long after the last use of its fallback share a box still reports that
+	// it uses it: a few rounds of messages between boxes.
 	fallbackReported = 2 * time.Second
 )
 
@@ -82,7 +83,7 @@
 // peer is the state of another box as an issuer.
 type peer struct {
 	pending  int       // requests in progress
-	slow     bool      // its last reply was later than requests wait for it
+	slow     bool      // requests did not wait long enough for the last reply
 	failures int       // consecutive requests that failed
 	retryAt  time.Time // when it is probed again after a failure
 }
@@ -163,8 +164,8 @@
 	return p.failures == 1
 }
 
-// IsIssuer reports whether this box is the issuer of the service, given the box that is. If it no longer
-// is, it drops its buckets: it does not know what another issuer has issued since.
+// IsIssuer reports whether this box is issuer, the issuer of the service. If not, IsIssuer drops the
+// buckets of the service: this box does not know which permits another issuer has issued since.
 func (a *Allocator) IsIssuer(issuer domain.BoxID, svc domain.ServiceName) bool {
 	if issuer == a.self {
 		return true
@@ -173,8 +174,8 @@
 	return false
 }
 
-// Issue issues permits to a box, where this box is the issuer of the service. share is the total share
-// of the limit of the boxes that this issuer serves.
+// Issue issues permits to a box, where this box is the issuer of the service. share is the share of
+// the limit that belongs to all boxes that this issuer serves.
 func (a *Allocator) Issue(now time.Time, svc domain.ServiceName, wants []Want, share float64) Grant {
 	delete(a.fallback, svc)
 	return a.grant(now, a.issued, svc, wants, share)
@@ -186,7 +187,7 @@
 	return a.grant(now, a.fallback, svc, wants, share)
 }
 
-// grant issues permits for the first of the wants for which there are any, and turns at those before it.
+// grant issues permits for the first target in wants that has any, and turns at the targets before it.
 func (a *Allocator) grant(now time.Time, buckets map[domain.ServiceName]*Buckets, svc domain.ServiceName, wants []Want, share float64) Grant {
 	b, ok := buckets[svc]
 	if !ok {
@@ -196,7 +197,7 @@
 	g := Grant{}
 	for _, w := range wants {
 		if math.IsInf(w.Rate, 0) {
-			g.Target, g.Permits = w.Target, 1 // the limit has ended, which the requesting box has not received yet
+			g.Target, g.Permits = w.Target, 1 // the limit has ended, but the requesting box does not know yet
 			return g
 		}
 		permits, turn := b.Take(now, w.Target, w.Rate*share)
@@ -209,8 +210,8 @@
 	return g
 }
 
-// UsesFallback reports whether this box has recently used its fallback share, so that no issuer issues
-// permits on its behalf.
+// UsesFallback reports whether this box has recently used its fallback share. Issuers must then not count
+// it among the boxes that they serve, or its share would be issued twice.
 func (a *Allocator) UsesFallback(now time.Time) bool {
 	return !a.fallbackAt.IsZero() && now.Sub(a.fallbackAt) < fallbackReported
 }
--- a/ratelimit/buckets.go
+++ b/ratelimit/buckets.go
@@ -14,13 +14,13 @@
 	// addition to those that it takes in burstPeriod: a target tolerates one and a half times its
 	// limit for some seconds, and a few requests more.
 	burst, burstPeriod = 2.0, 250 * time.Millisecond
-	// minRate is the number of requests a second that any target gets. A target reports that its limit
-	// has ended only with its answers.
+	// minRate is the least number of requests a second that a target gets, however low its limit is. A
+	// target states its limit only in its answers, so without requests its end would go unnoticed.
 	minRate = 0.2
-	// batchPeriod is the time for which permits are issued at once: a box that requested a permit for
-	// each of its requests would send the issuer of a target hundreds of requests a second.
+	// batchPeriod is the time whose permits are issued together, as one batch. A box that requested a
+	// permit for each of its requests would send the issuer hundreds of requests a second.
 	batchPeriod = 100 * time.Millisecond
-	// maxTurn is the longest time until a turn. The limit may have ended or risen by then.
+	// maxTurn is the longest time until a turn. After a longer time, the limit may have ended or risen.
 	maxTurn = 10 * time.Second
 	// unusedRetention is the time without requests after which a bucket is dropped.
 	unusedRetention = time.Minute
@@ -39,7 +39,7 @@
 	tokens float64
 	rate   float64   // tokens a second, as of the last call of Take
 	at     time.Time // of the last call of Take
-	turn   time.Time // the next turn to be given out, if it is later than the bucket's next batch
+	turn   time.Time // earliest time of the next turn, after the turns that are already assigned
 }
 
 // NewBuckets returns an empty set of buckets.
@@ -47,8 +47,8 @@
 	return &Buckets{rand: rnd, buckets: map[domain.InstanceID]*bucket{}}
 }
 
-// Take issues permits for the target, for which this box may issue perSecond a second: at least one, or
-// none and the turn of the requesting box.
+// Take issues permits for the target, of which this box may issue perSecond a second. It returns either
+// at least one permit, or no permits and the turn of the requesting box.
 //
 // A new bucket starts with a random fraction of a token, since the requests sent before are unknown
 // here. If all boxes begin to use their fallback shares at once, they therefore send, together, as many
@@ -73,7 +73,8 @@
 	return 0, b.nextTurn(now, k, batch)
 }
 
-// nextTurn returns when the next requesting box gets a batch, after those that were given a turn before.
+// nextTurn assigns the requesting box the first turn after those already assigned. If that is later than
+// maxTurn from now, it returns a random time in the latter half of maxTurn, and assigns no turn.
 func (b *Buckets) nextTurn(now time.Time, k *bucket, batch float64) time.Time {
 	turn := now.Add(seconds((batch - k.tokens) / k.rate))
 	if turn.Before(k.turn) {
@@ -117,7 +118,8 @@
 	return math.Inf(1)
 }
 
-// Share returns the share of a limit that the number of boxes has, out of all boxes that share the limit.
+// Share returns the share of a limit that belongs to a number of boxes, where sharing is the number of all
+// boxes that share the limit.
 func Share(boxes, sharing int) float64 {
 	if boxes >= sharing {
 		return 1
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,10 +1,10 @@
 // Package ratelimit keeps the requests that all boxes together send to a target within the limit that
 // the target names.
 //
-// A target that needs it states with its answers how many requests a second it takes from all boxes
-// together. A box that enforces only its own share of the limit either wastes what other boxes do not
-// use or, if it saves that up, contributes to a burst of all boxes at once: of forty boxes each may
-// save no more than a small fraction of one request. Therefore the limited targets of a service have
+// A target can state with its answers how many requests a second it takes from all boxes together. If
+// each box enforced only its own share of the limit, unused shares would be wasted. If boxes saved
+// unused shares up, all of them could send a burst at once: each of forty boxes may save no more than
+// a small fraction of one request. Therefore the limited targets of a service have
 // an issuer, a box that all boxes determine by the same rule. The issuer holds a token bucket for
 // each such target and issues permits, one for each request that is sent; boxes request permits when
 // they have a request for the target. A box that gets no permit receives its turn, and sends its
--- a/ratelimit/register.go
+++ b/ratelimit/register.go
@@ -15,9 +15,9 @@
 	// permitLifetime is how long a permit may be stored before it is used: a little longer than boxes
 	// take to receive a changed limit, so that the permits stored by all of them add little load.
 	permitLifetime = 500 * time.Millisecond
-	// changeReported is how long a box includes a named, changed or ended limit in its reports to others:
-	// a few rounds, the first of which is sent immediately. Each box that receives the change does the
-	// same.
+	// changeReported is how long a box includes a new, changed or ended limit in its reports to other
+	// boxes: a few rounds, the first of which is sent immediately. Each box that receives the change
+	// does the same.
 	changeReported = 3 * time.Second
 	// endedRetention is how long the end of a limit is stored, so that older reports of the limit do not
 	// restore it.
@@ -47,7 +47,7 @@
 type entry struct {
 	limit      call.Limit
 	reportedAt time.Time // when the target last reported the limit
-	changedAt  time.Time // when this box received a limit that differs from the one before
+	changedAt  time.Time // when this box received a limit that differs from the previous limit
 
 	permits      int       // unused permits
 	permitsUntil time.Time // when they expire
@@ -143,14 +143,14 @@
 	return true
 }
 
-// MaySend reports whether a request may still be sent to the target, which was chosen for it at the time
-// chosen. permitted reports that the request had a permit then or that the target had no limit. If the
-// request needs another permit and there is one, MaySend uses it.
+// MaySend reports whether a request may still be sent to the target that was chosen for it at the time
+// chosen. permitted states that at that time the request had a permit or the target had no limit. If the
+// request now needs a permit and the box has one, MaySend uses it.
 func (r *Register) MaySend(now time.Time, id domain.InstanceID, permitted bool, chosen time.Time) bool {
 	return permitted && !PermitExpired(now, chosen) || r.Unlimited(id) || r.UsePermit(now, id)
 }
 
-// PermitExpired reports whether a permit requested at the time may no longer be used, for example because
+// PermitExpired reports whether a permit that was requested at requested has expired, for example because
 // the box was suspended in the meantime.
 func PermitExpired(now, requested time.Time) bool { return now.Sub(requested) >= permitLifetime }
 
@@ -167,7 +167,7 @@
 	return e.turn
 }
 
-// AddPermits stores permits that were requested at the time.
+// AddPermits stores permits for the target that were requested at the time requested.
 func (r *Register) AddPermits(requested time.Time, id domain.InstanceID, permits int) {
 	e, ok := r.entries[id]
 	if !ok {
@@ -187,8 +187,8 @@
 	}
 }
 
-// ReportsForPeers returns the reports to send to other boxes: all recent changes, and a random selection
-// of the number others from the rest.
+// ReportsForPeers returns the reports to send to other boxes: all recent changes, and at most others of
+// the remaining reports, selected at random.
 func (r *Register) ReportsForPeers(now time.Time, others int) []Report {
 	var changed, rest []Report
 	for id, e := range r.entries {
@@ -204,7 +204,7 @@
 	return append(changed, rest[:min(len(rest), others)]...)
 }
 
-// HasLimits reports whether any target has a limit, or had one until recently.
+// HasLimits reports whether any target has a limit, or had a limit that Forget has not dropped yet.
 func (r *Register) HasLimits() bool { return len(r.entries) > 0 }
 
 // Forget drops limits that ended longer than endedRetention ago, and all state of targets that are not in
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -16,7 +16,7 @@
 type TokenBudget struct {
 	share   float64 // retries per request
 	minRate float64 // retries a second that do not depend on requests
-	cap     float64 // most unspent retries
+	cap     float64 // largest number of unspent retries
 	tokens  float64 // unspent retries
 	last    time.Time
 }
@@ -32,7 +32,7 @@
 }
 
 // SetMinRate changes the number of retries a second that do not depend on requests, for example when
-// more boxes share the total.
+// the number of boxes that share a total rate changes.
 func (b *TokenBudget) SetMinRate(perSecond float64) {
 	const seconds = 10
 	b.minRate, b.cap = perSecond, perSecond*seconds
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -3,10 +3,10 @@
 //
 // It is the only package that decides whether a request is reported as "not run". It does so only
 // with proof: no attempt was sent, or each target that received an attempt has guaranteed that it did
-// not run the request and never will. A request that may run again is retried without that proof. A
-// stream of which the caller has a part continues at another target after its last event. Retries
-// are limited by a budget that is a share of all requests, and never extend past the caller's
-// deadline.
+// not run the request and never will. A request that may run more than once is retried without that
+// proof. A stream of which the caller has a part continues at another target, after the last event
+// that the caller has. Retries are limited by a budget that is a share of all requests, and never
+// extend past the caller's deadline.
 //
 // A Machine is a state machine without I/O. docs/design/retries.md describes the alternatives that
 // were considered.
--- a/retry/machine.go
+++ b/retry/machine.go
@@ -12,7 +12,7 @@
 	Repeat bool
 	// Resume reports that another target may continue a broken stream.
 	Resume bool
-	// MaxAttempts is the number of targets that the request may be sent to.
+	// MaxAttempts is the largest number of attempts that may reach a target.
 	MaxAttempts int
 	// Deadline is the time by which the caller must have the final answer.
 	Deadline time.Time
@@ -21,14 +21,13 @@
 	FirstByteTimeout time.Duration
 }
 
-// maxNotSent is the number of attempts after which a request that could not be sent is given up. Such
-// attempts cost a target nothing.
+// maxNotSent is the number of attempts that could not be sent after which the request is given up. These
+// attempts cost a target nothing, so they count neither towards MaxAttempts nor in the budget.
 const maxNotSent = 3
 
-// defaultRetryAfter is the time after which a caller should retry where neither a target nor the box
-// states one, for example if three targets in a row could not be reached: the duration of a few
-// requests at a usual target, by which time the box treats these targets as unreachable and uses
-// others.
+// defaultRetryAfter is the time after which a caller should retry if neither a target nor the box states
+// one, for example because three targets in a row could not be reached. It is the duration of a few
+// requests at a usual target. After it, the box treats these targets as unreachable and uses others.
 const defaultRetryAfter = 250 * time.Millisecond
 
 // Machine is the state machine of one request over all its attempts. It decides whether another
@@ -158,7 +157,7 @@
 	return m.retry(now, err, m.forwarded)
 }
 
-// attemptMoved continues the answer at another target.
+// attemptMoved continues the answer at another target. It does not charge the budget: see Moved.
 func (m *Machine) attemptMoved(now time.Time) Command {
 	m.mayHaveRun, m.forwarded = true, true
 	m.lastErr = fault.New(fault.Interrupted, "the answer was to continue at another target")
@@ -191,8 +190,8 @@
 	return m.giveUp(now, fault.New(fault.TimedOut, "no answer within the time that the route allows"))
 }
 
-// giveUp ends the request. After an attempt that may have run, it replaces an error that reports
-// "not run" by one that leaves this open.
+// giveUp ends the request. If an attempt may have run, it replaces an error that reports "not run" by
+// one that reports that the request may have run.
 func (m *Machine) giveUp(now time.Time, err *fault.Error) Command {
 	if m.forwarded {
 		return Abort{Err: err}
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -34,14 +34,15 @@
 	initialDuration  = time.Second            // assumed duration of a request before any sample
 	initialFirstByte = 100 * time.Millisecond // assumed time to the first byte before any sample
 	minFade          = 200 * time.Millisecond // shortest time constant with which reported load decays
-	// otherHallPenalty is added to the utilisation of targets in other data halls, so that a nearly as
-	// free target of the same hall is preferred: less than one request of the smallest target in use.
+	// otherHallPenalty is added to the score of targets in other data halls, so that a target of the
+	// same hall with a slightly higher load is preferred. It is less than the utilisation that one
+	// request adds to the smallest target in use.
 	otherHallPenalty = 0.05
 )
 
-// Balancer chooses targets by load reports that arrive late. It corrects the last report of a
-// target by the requests that this box has sent and finished since; the rest of the report decays
-// over the usual duration of a request.
+// Balancer chooses targets by load reports that arrive late. It corrects the last report of a target
+// by the requests that this box has sent and finished since. The load from other boxes in that report
+// decays over the mean duration of a request.
 //
 // Targets of a group run their steps together, so the load of the whole group counts: the least
 // loaded group is chosen first, and then the least loaded rank in it. A Balancer is not safe for
@@ -95,7 +96,7 @@
 // Ticket is one request of this box at a target. Like the Balancer that returned it, it is not
 // safe for concurrent use.
 type Ticket struct {
-	load   *load // nil once the request has ended
+	load   *load // load of the target; nil once the request has ended
 	sentAt time.Time
 	wait   time.Duration // expected wait for a slot
 	began  bool
--- a/routing/groups.go
+++ b/routing/groups.go
@@ -9,16 +9,16 @@
 	"clovertrail.dev/core/domain"
 )
 
-// A group has spare capacity up to these limits, below which one more request delays no stream:
-// maxSpareUtilisation is a share of the group's slots, maxSpareStep the length of the group's steps
-// as a share of the longest pause that is in time.
+// A group has spare capacity, so that one more request delays no stream, up to both of these limits.
+// maxSpareUtilisation is a share of the group's slots. maxSpareStep is the length of the group's steps,
+// as a share of the longest pause that the route counts as in time.
 const maxSpareUtilisation, maxSpareStep = 0.6, 0.6
 
 // groupLoad is the load of a group of options.
 type groupLoad struct {
 	options     []Option
 	utilisation float64 // share of the slots, including the request to be placed
-	step        float64 // length of the group's steps, as a share of the longest pause in time
+	step        float64 // length of the group's steps, as a share of the longest pause that is in time
 }
 
 func (g groupLoad) hasCapacity() bool {
@@ -36,7 +36,7 @@
 // chooseGroup returns the options of the group to send a request to. Targets without a group count
 // as one group.
 //
-// A group of the box's own data hall is taken while it has spare capacity. Otherwise one of the
+// A group within the given data hall is taken while it has spare capacity. Otherwise one of the
 // groups with spare capacity is drawn at random: boxes receive loads late, and if all of them took
 // the group that looks least loaded, the load of the groups would oscillate. If no group has spare
 // capacity, the one with the lowest product of utilisation and step length is taken. docs/POLICY.md
--- a/routing/steps.go
+++ b/routing/steps.go
@@ -11,18 +11,18 @@
 // streams. It is more reliable than the slowdown that ranks report: a slow rank need not make the
 // steps of its group long if it gets less work.
 type steps struct {
-	pauses float64 // mean pause, as a share of the longest pause that is in time
-	at     time.Time
+	pauses float64   // mean pause, as a share of the longest pause that is in time
+	at     time.Time // time of the last pause
 }
 
 const (
-	// stepsSmoothing is the time constant over which pauses are averaged: a few steps, and less
-	// than the second in which a group that gets twice its load fills its slots.
+	// stepsSmoothing is the time constant over which pauses are averaged: a few steps, and less than
+	// the second that a group takes to fill its slots after its load has doubled.
 	stepsSmoothing = 300 * time.Millisecond
 	// stepsFresh is how long the mean of the pauses is used after the last pause.
 	stepsFresh = time.Second
-	// stepsRetention is how long pauses that are no longer used are stored: much longer than it
-	// takes to form a group again.
+	// stepsRetention is how long the steps of a group are stored after its last pause: much longer
+	// than it takes to form a group again.
 	stepsRetention = time.Minute
 )
 
@@ -38,7 +38,8 @@
 func (s *steps) fresh(now time.Time) bool { return now.Sub(s.at) <= stepsFresh }
 
 // RecordPause records the time between two events of a stream of the option. longest is the longest
-// pause that is in time, and 0 if the route sets none. Pauses of targets without a group are ignored.
+// pause that the route counts as in time, and 0 if the route sets no such limit; the pause is then
+// ignored, as are pauses of targets without a group.
 func (b *Balancer) RecordPause(now time.Time, o Option, pause, longest time.Duration) {
 	if longest <= 0 || o.Group == "" {
 		return
@@ -52,9 +53,9 @@
 }
 
 // maxRelativeSlowdown is the largest slowdown of a rank, relative to the fastest rank of its group,
-// with which the rank still gets requests. A rank that runs any stream has to execute the fixed part
-// of each step, which takes a slow rank longer by its slowdown, and the whole group waits for it
-// (docs/EXPERTS.md). Leaving a rank out costs the others no more than its share of the streams.
+// with which the rank still gets requests. A rank with at least one stream has to execute the fixed
+// part of each step. A slow rank takes longer for it by its slowdown, and the whole group waits for
+// that rank (docs/EXPERTS.md). If a rank is left out, the others only get its share of the streams.
 const maxRelativeSlowdown = 1.25
 
 // withoutSlowRanks removes the ranks that would lengthen the steps of their groups. Experts are
@@ -82,7 +83,7 @@
 }
 
 // IsStraggler reports whether the option makes the steps of its group too long for the streams of
-// all ranks while other ranks of the group, among the options, would not. A slow rank gets no new
+// all its ranks, and another rank of the group among the options is fast enough to replace it. A slow rank gets no new
 // streams, but its running streams delay all others until they end. Limited targets do not count as
 // alternatives: a stream that is moved may get no permit, and would be cut.
 func (b *Balancer) IsStraggler(now time.Time, o Option, options []Option) bool {
