--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -33,7 +33,7 @@
 	}
 	for _, tc := range tests {
 		g := admission.NewGate()
-		g.Admit(request(fullTime, 0), 0) // records the time that callers of the route have
+		g.Admit(request(fullTime, 0), 0) // records the longest time to the deadline on the route
 		if got, _ := g.Admit(tc.request, 0); got != tc.want {
 			t.Errorf("%s: admitted %v, want %v", tc.name, got, tc.want)
 		}
@@ -63,8 +63,8 @@
 }
 
 // TestRetryAfterOutageServesMoreCallers simulates an outage: a group with ranks in several halls is
-// down for 6.4 s while one of the halls is cut off. Callers have 8 s and retry once. The 6.4 s consist
-// of a cut of 5.8 s and the time to form the group again.
+// down for 6.4 s while one of the halls is cut off: 5.8 s of the cut and the time to form the group again.
+// Callers have 8 s to their deadline and retry once.
 func TestRetryAfterOutageServesMoreCallers(t *testing.T) {
 	const down, perSecond = 6400 * time.Millisecond, 220
 	served := func(retryAfter func(time.Duration, float64) time.Duration) int {
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestRetryAfterPermitsIsEvenlySpread: between the first permit and the longest time that callers
-// honour, wherever the first permit is.
+// TestRetryAfterPermitsIsEvenlySpread: retries are spread evenly between the time of the first permit and
+// the longest time that callers honour, whenever the first permit becomes available.
 func TestRetryAfterPermitsIsEvenlySpread(t *testing.T) {
 	const remaining, most = 9 * time.Second, 3 * time.Second
 	for _, tc := range []struct{ from, earliest time.Duration }{
--- a/ratelimit/allocator.go
+++ b/ratelimit/allocator.go
@@ -74,16 +74,16 @@
 type Allocator struct {
 	rand       *rand.Rand
 	self       domain.BoxID
-	issued     map[domain.ServiceName]*Buckets // of services for which this box is the issuer
-	fallback   map[domain.ServiceName]*Buckets // of services for which it uses its fallback share
-	fallbackAt time.Time                       // when it last used a fallback share
+	issued     map[domain.ServiceName]*Buckets // buckets of the services for which this box is the issuer
+	fallback   map[domain.ServiceName]*Buckets // buckets of the services for which this box uses its fallback share
+	fallbackAt time.Time                       // when this box last used a fallback share
 	peers      map[domain.BoxID]*peer
 }
 
 // peer is the state of another box as an issuer.
 type peer struct {
 	pending  int       // requests in progress
-	slow     bool      // requests did not wait long enough for the last reply
+	slow     bool      // its last reply came after the time that requests wait for it
 	failures int       // consecutive requests that failed
 	retryAt  time.Time // when it is probed again after a failure
 }
--- a/ratelimit/buckets.go
+++ b/ratelimit/buckets.go
@@ -15,7 +15,8 @@
 	// limit for some seconds, and a few requests more.
 	burst, burstPeriod = 2.0, 250 * time.Millisecond
 	// minRate is the least number of requests a second that a target gets, however low its limit is. A
-	// target states its limit only in its answers, so without requests its end would go unnoticed.
+	// target states its limit only in its answers, so without requests a higher limit, or the end of the
+	// limit, would go unnoticed.
 	minRate = 0.2
 	// batchPeriod is the time whose permits are issued together, as one batch. A box that requested a
 	// permit for each of its requests would send the issuer hundreds of requests a second.
@@ -38,7 +39,7 @@
 type bucket struct {
 	tokens float64
 	rate   float64   // tokens a second, as of the last call of Take
-	at     time.Time // of the last call of Take
+	at     time.Time // time of the last call of Take
 	turn   time.Time // earliest time of the next turn, after the turns that are already assigned
 }
 
@@ -74,7 +75,8 @@
 }
 
 // nextTurn assigns the requesting box the first turn after those already assigned. If that is later than
-// maxTurn from now, it returns a random time in the latter half of maxTurn, and assigns no turn.
+// maxTurn from now, it returns a random time in the latter half of maxTurn, and leaves
+// k.turn unchanged.
 func (b *Buckets) nextTurn(now time.Time, k *bucket, batch float64) time.Time {
 	turn := now.Add(seconds((batch - k.tokens) / k.rate))
 	if turn.Before(k.turn) {
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -19,8 +19,8 @@
 
 const (
 	step    = 5 * time.Millisecond
-	window  = 4 * time.Second        // in which the requests that a target gets are counted
-	settled = 3 * time.Second        // time after the limit was first reported from which the tests count
+	window  = 4 * time.Second        // length of the windows in which requests to the target are counted
+	settled = 3 * time.Second        // time after the first report of the limit before which nothing is counted
 	rounds  = 500 * time.Millisecond // interval at which boxes exchange messages
 	service = domain.ServiceName("model")
 	limited = domain.InstanceID("t-1")
@@ -32,7 +32,7 @@
 const (
 	byIssuer strategy = iota
 	byShares          // each box uses its own share of the limit
-	saving            // like byShares, and a box saves up to one request while it has none
+	saving            // like byShares, and a box without requests saves up to one token
 )
 
 // node is one box.
@@ -44,7 +44,7 @@
 	saved     float64 // tokens spent or expired, for the strategy saving
 	hall      int
 	frozen    bool
-	rate      float64 // requests a second that it has for the target
+	rate      float64 // requests a second that callers send to this box for the target
 }
 
 // fleet is a set of boxes and the requests that they sent to the target.
@@ -55,7 +55,7 @@
 	limit    float64
 	cut      bool            // there is no contact between halls
 	sent     []time.Duration // times of the requests sent to the target
-	arrived  int             // requests of callers
+	arrived  int             // number of requests from callers
 	now      time.Duration
 }
 
@@ -83,7 +83,7 @@
 	return !a.frozen && !b.frozen && (!f.cut || a.hall == b.hall)
 }
 
-// at returns the time after the beginning of a run.
+// at returns the time d after the beginning of a run.
 func at(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 
 // run simulates the fleet, whose target reports its limit from the start.
@@ -221,7 +221,7 @@
 	return true
 }
 
-// worst returns the largest number of requests within a window that begins at from or later.
+// worst returns the largest number of requests within any window that begins at from or later.
 func (f *fleet) worst(from time.Duration) int {
 	most, first := 0, 0
 	for i, x := range f.sent {
@@ -238,7 +238,7 @@
 // tolerated returns the number of requests within a window that a target with the limit tolerates.
 func tolerated(limit float64) int { return int(1.5*limit*window.Seconds() + 5) }
 
-// setLoad sets the number of requests a second of each box.
+// setLoad sets the number of requests a second that callers send to each box.
 func setLoad(perBox float64) func(*fleet) {
 	return func(f *fleet) {
 		for _, n := range f.nodes {
--- a/ratelimit/register.go
+++ b/ratelimit/register.go
@@ -50,8 +50,8 @@
 	changedAt  time.Time // when this box received a limit that differs from the previous limit
 
 	permits      int       // unused permits
-	permitsUntil time.Time // when they expire
-	turn         time.Time // before which this box gets no permits
+	permitsUntil time.Time // when the permits expire
+	turn         time.Time // time before which this box gets no permits
 }
 
 // NewRegister returns a register without limits.
--- a/ratelimit/register_test.go
+++ b/ratelimit/register_test.go
@@ -16,12 +16,12 @@
 
 func TestMain(m *testing.M) { testkit.Main(m, 100, 0) }
 
-// report returns a report of a limit at the time.
+// report returns a report of a limit at the given time.
 func report(perSecond float64, d time.Duration) ratelimit.Report {
 	return ratelimit.Report{Target: limited, Limit: call.Limited{PerSecond: perSecond}, At: at(d)}
 }
 
-// ended returns a report of the end of a limit at the time.
+// ended returns a report of the end of a limit at the given time.
 func ended(d time.Duration) ratelimit.Report {
 	return ratelimit.Report{Target: limited, Limit: call.Unlimited{}, At: at(d)}
 }
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestForgetDropsRemovedTargetsAndEndedLimits: limits of targets that are gone are dropped, and those that
+// TestForgetDropsRemovedTargetsAndEndedLimits: limits of removed targets are dropped, and so are limits that
 // ended long ago.
 func TestForgetDropsRemovedTargetsAndEndedLimits(t *testing.T) {
 	r := ratelimit.NewRegister(source())
--- a/retry/machine_test.go
+++ b/retry/machine_test.go
@@ -133,7 +133,7 @@
 	tests := []struct {
 		name  string
 		kind  int
-		first bool // checks the first attempt, otherwise the second
+		first bool // whether the first attempt is checked; otherwise the second
 		want  bool
 	}{
 		{"first of two", repeat, true, true},
--- a/routing/balancer_test.go
+++ b/routing/balancer_test.go
@@ -183,8 +183,8 @@
 	// Output: idle
 }
 
-// TestManyBoxesSpreadOverTargets guards against herding: between two reports all boxes see the same
-// target as the least loaded.
+// TestManyBoxesSpreadOverTargets guards against herding: between two reports, all boxes see the same
+// target as the least loaded, and would all pick it.
 func TestManyBoxesSpreadOverTargets(t *testing.T) {
 	const targets = 32
 	most := func(boxes int) int {
