--- a/routing/steps.go
+++ b/routing/steps.go
@@ -55,7 +55,8 @@
 // maxRelativeSlowdown is the largest slowdown of a rank, relative to the fastest rank of its group,
 // with which the rank still gets requests. A rank with at least one stream has to execute the fixed
 // part of each step. A slow rank takes longer for it by its slowdown, and the whole group waits for
-// that rank (docs/EXPERTS.md). If a rank is left out, the others only get its share of the streams.
+// that rank (docs/EXPERTS.md). Leaving a rank out costs the other ranks no more than its share of the
+// streams.
 const maxRelativeSlowdown = 1.25
 
 // withoutSlowRanks removes the ranks that would lengthen the steps of their groups. Experts are
