--- a/node/entry.go
+++ b/node/entry.go
@@ -19,7 +19,7 @@
 	"clovertrail.dev/transport"
 )
 
-// sweepInterval is the time between two passes that close idle connections which are too old.
+// sweepInterval is the time between two passes that close connections which were idle for too long.
 const sweepInterval = time.Second
 
 // Entry is the process of an entry box.
@@ -42,7 +42,7 @@
 	timeline   *timeline
 	limiting   *limiting
 
-	loggedStandings map[domain.InstanceID]membership.Standing // as last logged; used by the goroutine of judge only
+	loggedStandings map[domain.InstanceID]membership.Standing // standings as last logged; used only by the goroutine of checkReadiness
 }
 
 // NewEntry returns the process of an entry box. settings returns the current settings; ApplySettings applies
@@ -91,13 +91,13 @@
 	e.ready.configured.Store(true)
 }
 
-// command forwards an order to one engine for the coordinator of a group.
-func (e *Entry) command(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
+// sendOrder forwards an order to one engine for the coordinator of a group.
+func (e *Entry) sendOrder(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
 	return rank.ForwardOrder(ctx, e.common, e.engines, c)
 }
 
-// deal forwards an order to many engines for the coordinator of a group.
-func (e *Entry) deal(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
+// fanOut forwards an order to many engines for the coordinator of a group.
+func (e *Entry) fanOut(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
 	return rank.ForwardToEngines(ctx, e.common, e.engines, c)
 }
 
@@ -142,7 +142,7 @@
 	go targets.run(ctx)
 }
 
-// sweepConnections closes idle connections to targets that are too old, until ctx ends.
+// sweepConnections closes connections to targets that were idle for too long, until ctx ends.
 func (e *Entry) sweepConnections(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.SleepUntil(ctx, clock.Now().Add(sweepInterval))
--- a/node/rank/agent.go
+++ b/node/rank/agent.go
@@ -40,7 +40,7 @@
 	mu           sync.Mutex
 	report       platform.Report     // last report of the engine
 	readAt       time.Time           // when report was read
-	members      map[int]mesh.Member // own group, by rank
+	members      map[int]mesh.Member // members of the own group, by rank
 	epoch        orders.Epoch        // the epoch for which members were received
 	shape        *rebalance.Shape
 	forwarders   *distribution.Forwarders
@@ -92,8 +92,8 @@
 	return a.stop(g, done, cancel)
 }
 
-// stop waits until a map change under way has ended, so that the group is not left held.
-// The wait is bounded by the stop time of the settings.
+// stop waits until no map change of this coordinator holds the group, so that the group is not
+// left held. The wait is bounded by the stop time of the settings.
 func (a *Agent) stop(g *groupCoordinator, done <-chan struct{}, cancel context.CancelFunc) error {
 	startedAt := clock.Now()
 	a.common.Log.Info("leaving")
@@ -112,9 +112,9 @@
 	m := mesh.NewMux()
 	mesh.Handle(m, mesh.Watch, a.handleWatch)
 	mesh.Handle(m, mesh.Read, a.handleRead)
-	mesh.Handle(m, mesh.SendOrder, a.handleCommand)
+	mesh.Handle(m, mesh.SendOrder, a.handleSendOrder)
 	mesh.Handle(m, mesh.Gather, a.handleGather)
-	mesh.Handle(m, mesh.FanOut, a.handleDeal)
+	mesh.Handle(m, mesh.FanOut, a.handleFanOut)
 	return m
 }
 
@@ -259,8 +259,8 @@
 	return rankReport(r), nil
 }
 
-// handleCommand sends an order to the own engine, or to another engine if the call names one.
-func (a *Agent) handleCommand(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
+// handleSendOrder sends an order to the own engine, or to another engine if the call names one.
+func (a *Agent) handleSendOrder(ctx context.Context, c *mesh.OrderCall) (*mesh.OrderReply, error) {
 	if err := a.receivedMaps.Expand(c); err != nil {
 		return nil, err
 	}
