--- a/mapswitch/orders/numbergenerator.go
+++ b/mapswitch/orders/numbergenerator.go
@@ -2,8 +2,8 @@
 
 // NumberGenerator generates the fences and versions of one process. It uses no clock: the
 // clocks of boxes are set back and forth, also while a process is not running, and a
-// process that restarted with its clock behind would generate numbers again that stand for
-// other maps.
+// process that restarted with its clock behind could generate a number again that already
+// stands for another map.
 //
 // A version is higher than all that the ranks of the group have reported, and differs from
 // those of every other process by the rank and by a salt, drawn at the start: orders of a
@@ -21,11 +21,12 @@
 	// are equal.
 	saltBits = 16
 	// fenceRaiseFactor and fenceRaiseStep raise the fence above those that ranks have
-	// received: three attempts exceed four million of them.
+	// received: after four outranked attempts of a new process, the next fence exceeds four
+	// million.
 	fenceRaiseFactor, fenceRaiseStep = 16, 1000
-	// maxRaisedFence bounds how far the fence is raised: a version derived from a fence
-	// below it fits into 53 bits for groups of up to 512 ranks, which any reader of JSON
-	// reads exactly.
+	// maxRaisedFence bounds how far the fence is raised: for groups of up to 512 ranks, a
+	// version derived from a lower fence fits into 53 bits, so that any reader of JSON reads
+	// the version exactly.
 	maxRaisedFence Fence = 1 << 28
 )
 
--- a/node/rank/relaying.go
+++ b/node/rank/relaying.go
@@ -70,8 +70,8 @@
 	return out
 }
 
-// handleDeal sends an order to ranks of the own group, or to the engines that the call names.
-func (a *Agent) handleDeal(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
+// handleFanOut sends an order to ranks of the own group, or to the engines that the call names.
+func (a *Agent) handleFanOut(ctx context.Context, c *mesh.FanOutCall) (*mesh.FanOutReply, error) {
 	if len(c.Engines) > 0 {
 		return ForwardToEngines(ctx, a.common, a.http, c)
 	}
@@ -98,11 +98,11 @@
 	var reply *mesh.OrderReply
 	var err error
 	if o.Prepare != nil {
-		prepare := *o.Prepare // the own agent expands it in place; the others receive only the changed rows
+		prepare := *o.Prepare // copied because the own agent expands it in place, and the others are to receive only the changed rows
 		o.Prepare = &prepare
 	}
 	if m.Agent == a.settings().Peers {
-		reply, err = a.handleCommand(ctx, &o)
+		reply, err = a.handleSendOrder(ctx, &o)
 	} else {
 		reply, err = mesh.Call[mesh.OrderCall, mesh.OrderReply](ctx, a.mesh, m.Agent, mesh.SendOrder, &o)
 	}
